--- a/features/steps/ejection_steps.py
+++ b/features/steps/ejection_steps.py
@@ -32,21 +32,21 @@
 
 
 def leaves_floor_unsettled(fold, claim):
-    counted = {*fold.out, *claim.out, claim.target_id}
+    counted = {*fold.ejections, *claim.out, claim.target_id}
     return sum_in_service(claim.weights, counted) >= claim.floor
 
 
 FAULTS = {
-    "accept every claim": (EjectionFold, "leaves_floor", lambda f, c: True),
+    "accept every claim": (EjectionFold, "keeps_floor", lambda f, c: True),
     "forget who may still hold a target out": (
         EjectionFold,
-        "leaves_floor",
+        "keeps_floor",
         leaves_floor_unsettled,
     ),
     "apply what they can no longer confirm": (
         EjectionController,
         "is_fresh",
-        lambda controller, state, now: state.live,
+        lambda controller, state, now: state.caught_up,
     ),
     "never bring back targets for the floor": (
         EjectionController,
@@ -185,7 +185,7 @@
     fresh = context.world.make_daemon(7)
     context.world.daemons.append(fresh)
     context.world.run(1)
-    assert not fresh.controller.streams[STREAM].fold.out
+    assert not fresh.controller.streams[STREAM].fold.ejections
 
 
 @given("a stream whose last ejection was never renewed or ended")
@@ -206,7 +206,7 @@
 
 @then("nobody is out in its view")
 def check_nobody_out(context):
-    assert context.fresh.controller.streams[STREAM].fold.out
+    assert context.fresh.controller.streams[STREAM].fold.ejections
     assert not context.fresh.board.ejected
 
 
@@ -219,5 +219,5 @@
 def check_history(context):
     most = SETTLE_MS / 1_000 / STEP_S + 2
     for daemon in context.world.daemons:
-        history = daemon.controller.streams[STREAM].history
-        assert 0 < len(history) <= 2 * most, len(history)
+        read_positions = daemon.controller.streams[STREAM].read_positions
+        assert 0 < len(read_positions) <= 2 * most, len(read_positions)
--- a/features/steps/evidence_steps.py
+++ b/features/steps/evidence_steps.py
@@ -9,10 +9,10 @@
 from benchmarks.detection_users import ADDIS, HOKKAIDO
 from benchmarks.detection_world import World
 
-from wagtailstep.controllers import evidence_judge, evidence_sharing
+from wagtailstep.controllers import evidence_evaluation, evidence_sharing
+from wagtailstep.controllers.avoidance import Phase
 from wagtailstep.controllers.evidence import EvidenceController
-from wagtailstep.controllers.evidence_state import RouteComparison
-from wagtailstep.controllers.standing import Phase
+from wagtailstep.controllers.evidence_state import RouteBaseline
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import ProbeFinished, SendToPeer, Tick
 from wagtailstep.models.fleet import Member, Target
@@ -233,8 +233,8 @@
     for _ in range(count):
         load_sick(context, 1, blame=Blame.BACKEND_SERVER)
         assert judge.avoided() == {context.sick}
-        standing = judge.controller.standings.of(context.sick)
-        context.times.append(standing.until - standing.last_strike)
+        standing = judge.controller.health_tracker.get_state(context.sick)
+        context.times.append(standing.avoided_until - standing.last_avoided_at)
         for _ in range(100):
             if standing.phase is Phase.GOOD:
                 break
@@ -285,8 +285,8 @@
 
 PLANTED = {
     "ignores the others": [
-        (evidence_judge, "has_common_cause", judge_alone),
-        (RouteComparison, "healthy_share", lambda self, symptom, rates: 0.1),
+        (evidence_evaluation, "has_common_cause", judge_alone),
+        (RouteBaseline, "estimate_healthy_rate", lambda self, symptom, rates: 0.1),
     ],
 }
 
--- a/src/wagtailstep/controllers/call_ratios.py
+++ b/src/wagtailstep/controllers/call_ratios.py
@@ -20,9 +20,9 @@
 
 # Counts lose half their weight in this time, so that the ratio follows the traffic.
 HALF_LIFE = timedelta(seconds=10)
-LEAST_RUNS = 3.0
+MIN_RUNS = 3.0
 # Calls per run that a route is taken to make before anything is known of it.
-UNKNOWN_RATIO = 0.1
+PRIOR_CALLS_PER_RUN = 0.1
 
 
 @attrs.define
@@ -38,7 +38,7 @@
 
     def ratio(self, service: str) -> float:
         """Return the calls to a service for each run, with a little for the unknown."""
-        calls = self.calls.get(service, 0.0) + UNKNOWN_RATIO
+        calls = self.calls.get(service, 0.0) + PRIOR_CALLS_PER_RUN
         return calls / (self.runs + 1.0)
 
     def halve(self) -> None:
@@ -111,6 +111,6 @@
                 service: count / route.runs for service, count in route.calls.items()
             }
             for name, route in self.routes.items()
-            if route.calls and route.runs >= LEAST_RUNS
+            if route.calls and route.runs >= MIN_RUNS
         }
         return []
--- a/src/wagtailstep/controllers/ejection.py
+++ b/src/wagtailstep/controllers/ejection.py
@@ -11,21 +11,21 @@
 from functools import singledispatchmethod
 from typing import Any
 
+from wagtailstep.controllers.avoidance import (
+    MIN_GOOD_PROBES,
+    PROBE_INTERVAL_S,
+    PROBE_TIMEOUT_MS,
+    REPEAT_WINDOW_S,
+    compute_backoff,
+)
 from wagtailstep.controllers.ejection_fold import FoldResult
 from wagtailstep.controllers.ejection_state import (
-    FRESH_MS,
-    HeldEjection,
+    FRESHNESS_MS,
+    EjectionCount,
+    EjectionLease,
     StreamState,
-    Strikes,
 )
 from wagtailstep.controllers.floor import select_returns
-from wagtailstep.controllers.standing import (
-    GOOD_PROBES,
-    PROBE_INTERVAL_S,
-    PROBE_TIMEOUT_MS,
-    STRIKE_MEMORY_S,
-    away_time,
-)
 from wagtailstep.exceptions import DecodeError
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.ejection import (
@@ -54,13 +54,13 @@
 from wagtailstep.utils.ids import make_id
 
 LEASE_S = 30.0
-RENEW_S = 10.0
-MAX_HOLD_TIMES = 4
+RENEW_INTERVAL_S = 10.0
+MAX_HOLD_FACTOR = 4
 CLAIM_JITTER_S = 0.2
 CLAIM_RETRY_S = 2.0
 RETURN_JITTER_S = 2.0
 RETURN_RETRY_S = 3.0
-BASE_OUT_S = 10.0
+BASE_EJECTION_S = 10.0
 
 
 class EjectionController:
@@ -99,8 +99,8 @@
         now = self.clock.monotonic()
         effects = []
         for record in event.records:
-            effects += self.take_record(state, record, now)
-        state.note_read(now)
+            effects += self.apply_record(state, record, now)
+        state.record_read_position(now)
         self.write_ejected()
         return effects
 
@@ -108,9 +108,9 @@
     def _(self, event: LogCaughtUp) -> list[Any]:
         state = self.streams.get(event.stream)
         if state is not None:
-            state.live = True
-            state.fresh_until = event.asked_at + timedelta(milliseconds=FRESH_MS)
-            state.note_read(self.clock.monotonic())
+            state.caught_up = True
+            state.fresh_until = event.asked_at + timedelta(milliseconds=FRESHNESS_MS)
+            state.record_read_position(self.clock.monotonic())
             self.write_ejected()
         return []
 
@@ -125,13 +125,13 @@
     @handle.register
     def _(self, event: ProbeFinished) -> list[Any]:
         for state in self.streams.values():
-            held = state.held.get(event.target_id)
-            ejection = state.fold.out.get(event.target_id)
-            if held is None or ejection is None or not self.owns(ejection):
+            lease = state.leases.get(event.target_id)
+            ejection = state.fold.ejections.get(event.target_id)
+            if lease is None or ejection is None or not self.owns(ejection):
                 continue
-            held.good_probes = held.good_probes + 1 if event.succeeded else 0
-            if held.good_probes >= GOOD_PROBES:
-                return self.put_back(ejection, state, "recovered", jitter=False)
+            lease.good_probes = lease.good_probes + 1 if event.succeeded else 0
+            if lease.good_probes >= MIN_GOOD_PROBES:
+                return self.return_target(ejection, state, "recovered", jitter=False)
         return []
 
     @handle.register
@@ -141,7 +141,7 @@
         for state in self.streams.values():
             if not self.is_fresh(state, now):
                 continue
-            effects += self.tend_ejections(state, now)
+            effects += self.update_ejections(state, now)
             effects += self.claim_candidates(state, now)
         self.write_ejected()
         return effects
@@ -160,13 +160,13 @@
 
     def is_fresh(self, state: StreamState, now: timedelta) -> bool:
         """Tell whether the stream's end was reached not long ago."""
-        return state.live and now < state.fresh_until
+        return state.caught_up and now < state.fresh_until
 
     def owns(self, ejection: Ejection) -> bool:
         """Tell whether this daemon answers for an ejection."""
         return ejection.claimant == self.blackboard.this_member.daemon_id
 
-    def take_record(
+    def apply_record(
         self, state: StreamState, record: LogRecord, now: timedelta
     ) -> list[Any]:
         """Fold one record and keep the time-bound state beside it."""
@@ -177,27 +177,27 @@
             return [RecordEvent("ejection-record-ignored", fields)]
         result = state.fold.apply(record.offset, message)
         if result in (FoldResult.EJECTED, FoldResult.RENEWED):
-            self.hold(state, message, now)
+            self.renew(state, message, now)
         if result is FoldResult.RETURNED:
-            del state.held[message.target_id]
-            state.strikes.setdefault(message.target_id, Strikes()).ended = now
-        if result is FoldResult.IGNORED or not state.live:
+            del state.leases[message.target_id]
+            state.counts.setdefault(message.target_id, EjectionCount()).ended_at = now
+        if result is FoldResult.IGNORED or not state.caught_up:
             return []
         if result is FoldResult.RENEWED:
             return []
-        return [describe(result, message)]
+        return [build_outcome_event(result, message)]
 
-    def hold(self, state: StreamState, claim: EjectionClaim, now: timedelta) -> None:
+    def renew(self, state: StreamState, claim: EjectionClaim, now: timedelta) -> None:
         """Start or extend the lease of an ejection."""
-        held = state.held.get(claim.target_id)
-        if held is None:
-            held = HeldEjection(first_read=now, lease_until=now, renew_at=now)
-            state.held[claim.target_id] = held
-        held.read_live = state.live
-        held.lease_until = now + timedelta(seconds=LEASE_S)
-        held.renew_at = now + timedelta(seconds=RENEW_S)
-        strikes = state.strikes.setdefault(claim.target_id, Strikes())
-        strikes.count = claim.strikes
+        lease = state.leases.get(claim.target_id)
+        if lease is None:
+            lease = EjectionLease(first_read_at=now, expires_at=now, renew_at=now)
+            state.leases[claim.target_id] = lease
+        lease.read_caught_up = state.caught_up
+        lease.expires_at = now + timedelta(seconds=LEASE_S)
+        lease.renew_at = now + timedelta(seconds=RENEW_INTERVAL_S)
+        previous = state.counts.setdefault(claim.target_id, EjectionCount())
+        previous.count = claim.strikes
 
     def serving_weights(self, service: str) -> dict[str, float]:
         """Return the weights of the service's targets that take work, by view."""
@@ -210,11 +210,11 @@
 
     def forced_returns(self, state: StreamState) -> list[str]:
         """Return ejected targets that the floor needs back in this view."""
-        if not state.fold.out:
+        if not state.fold.ejections:
             return []
         floor = self.blackboard.table.service_row(state.service).floor_weight
         weights = self.serving_weights(state.service)
-        return select_returns(weights, list(state.fold.out), floor)
+        return select_returns(weights, list(state.fold.ejections), floor)
 
     def write_ejected(self) -> None:
         """Write the targets that are out in this daemon's view."""
@@ -230,80 +230,80 @@
         """Return the targets of one service that are out in this view."""
         forced = set(self.forced_returns(state))
         ejected = set()
-        for target_id, ejection in state.fold.out.items():
-            held = state.held[target_id]
-            in_force = held.read_live and now < held.lease_until
-            if in_force and target_id not in forced and not self.was_replaced(ejection):
+        for target_id, ejection in state.fold.ejections.items():
+            lease = state.leases[target_id]
+            in_force = lease.read_caught_up and now < lease.expires_at
+            if in_force and target_id not in forced and not self.is_outdated(ejection):
                 ejected.add(target_id)
         return ejected
 
-    def was_replaced(self, ejection: Ejection) -> bool:
+    def is_outdated(self, ejection: Ejection) -> bool:
         """Tell whether the target restarted after it was judged."""
         target = self.blackboard.targets.get(ejection.target_id)
         return target is not None and target.incarnation > ejection.incarnation
 
-    def tend_ejections(self, state: StreamState, now: timedelta) -> list[Any]:
+    def update_ejections(self, state: StreamState, now: timedelta) -> list[Any]:
         """Renew and probe what this daemon ejected; end what has to end."""
         effects: list[Any] = []
         forced = set(self.forced_returns(state))
-        for ejection in list(state.fold.out.values()):
-            held = state.held[ejection.target_id]
-            reason = self.reason_to_return(ejection, held, forced, now)
+        for ejection in list(state.fold.ejections.values()):
+            lease = state.leases[ejection.target_id]
+            reason = self.get_return_reason(ejection, lease, forced, now)
             if reason:
-                effects += self.put_back(ejection, state, reason)
+                effects += self.return_target(ejection, state, reason)
             elif self.owns(ejection):
-                effects += self.tend_own(state, ejection, held, now)
+                effects += self.update_local_ejection(state, ejection, lease, now)
         return effects
 
-    def reason_to_return(
+    def get_return_reason(
         self,
         ejection: Ejection,
-        held: HeldEjection,
+        lease: EjectionLease,
         forced: set[str],
         now: timedelta,
     ) -> str:
         """Return why an ejection has to end, or an empty string."""
         if ejection.target_id in forced:
             return "floor"
-        if self.was_replaced(ejection):
+        if self.is_outdated(ejection):
             return "restarted"
-        if held.lease_until <= now:
+        if lease.expires_at <= now:
             return "lapsed"
-        longest = MAX_HOLD_TIMES * away_time(ejection.strikes, BASE_OUT_S)
-        if now - held.first_read > longest:
+        limit = MAX_HOLD_FACTOR * compute_backoff(ejection.strikes, BASE_EJECTION_S)
+        if now - lease.first_read_at > limit:
             return "held-longest"
         return ""
 
-    def tend_own(
+    def update_local_ejection(
         self,
         state: StreamState,
         ejection: Ejection,
-        held: HeldEjection,
+        lease: EjectionLease,
         now: timedelta,
     ) -> list[Any]:
         """Renew an ejection of this daemon and probe the target after its time."""
         effects: list[Any] = []
-        if now >= held.renew_at:
-            held.renew_at = now + timedelta(seconds=CLAIM_RETRY_S)
+        if now >= lease.renew_at:
+            lease.renew_at = now + timedelta(seconds=CLAIM_RETRY_S)
             reason, strikes = "renewal", ejection.strikes
             effects += self.claim(state, ejection.target_id, reason, strikes)
-        over = held.first_read + away_time(ejection.strikes, BASE_OUT_S)
-        if now >= over and now >= held.next_probe:
-            held.next_probe = now + timedelta(seconds=PROBE_INTERVAL_S)
+        end = lease.first_read_at + compute_backoff(ejection.strikes, BASE_EJECTION_S)
+        if now >= end and now >= lease.next_probe_at:
+            lease.next_probe_at = now + timedelta(seconds=PROBE_INTERVAL_S)
             timeout = timedelta(milliseconds=PROBE_TIMEOUT_MS)
             effects.append(ProbeTarget(ejection.target_id, timeout))
         return effects
 
     def claim_candidates(self, state: StreamState, now: timedelta) -> list[Any]:
         """Claim the gravest candidates, each after a short random wait."""
-        mine = [
+        candidates = [
             candidate
             for candidate in self.blackboard.ejection_candidates.values()
             if candidate.target_id.partition("/")[0] == state.service
-            and candidate.target_id not in state.fold.out
+            and candidate.target_id not in state.fold.ejections
         ]
         effects: list[Any] = []
-        for candidate in sorted(mine, key=lambda c: (-c.severity, c.target_id)):
+        for candidate in sorted(candidates, key=lambda c: (-c.severity, c.target_id)):
             if self.is_due(f"claim {candidate.target_id}", CLAIM_JITTER_S, now):
                 effects += self.claim_candidate(state, candidate, now)
         return effects
@@ -313,9 +313,9 @@
     ) -> list[Any]:
         """Claim the ejection of a candidate."""
         target_id = candidate.target_id
-        strikes = state.strikes.get(target_id, Strikes())
-        recent = now - strikes.ended < timedelta(seconds=STRIKE_MEMORY_S)
-        count = strikes.count + 1 if recent else 1
+        previous = state.counts.get(target_id, EjectionCount())
+        recent = now - previous.ended_at < timedelta(seconds=REPEAT_WINDOW_S)
+        count = previous.count + 1 if recent else 1
         reason = f"{candidate.symptom.value} {candidate.route}".strip()
         return self.claim(state, target_id, reason, count)
 
@@ -336,25 +336,25 @@
             reason=reason,
             strikes=strikes,
             weights=self.serving_weights(state.service),
-            out=tuple(state.fold.out),
+            out=tuple(state.fold.ejections),
             floor=row.floor_weight,
             table_version=self.blackboard.table.version,
             basis_offset=state.fold.next_offset,
             settled_offset=state.settled_offset(now),
         )
         self.not_before[f"claim {target_id}"] = now + timedelta(seconds=CLAIM_RETRY_S)
-        if not state.fold.leaves_floor(claim):
+        if not state.fold.keeps_floor(claim):
             return []
         return self.append(state, claim)
 
-    def put_back(
+    def return_target(
         self, ejection: Ejection, state: StreamState, reason: str, jitter: bool = True
     ) -> list[Any]:
         """End an ejection; several daemons may do so at once without harm."""
         now = self.clock.monotonic()
         key = f"return {ejection.claim_id}"
-        spread = RETURN_JITTER_S if jitter and not self.owns(ejection) else 0.0
-        if not self.is_due(key, spread, now):
+        max_wait_s = RETURN_JITTER_S if jitter and not self.owns(ejection) else 0.0
+        if not self.is_due(key, max_wait_s, now):
             return []
         self.not_before[key] = now + timedelta(seconds=RETURN_RETRY_S)
         record = EjectionReturn(
@@ -365,16 +365,16 @@
         )
         return self.append(state, record)
 
-    def is_due(self, key: str, spread_s: float, now: timedelta) -> bool:
+    def is_due(self, key: str, max_wait_s: float, now: timedelta) -> bool:
         """Tell whether an action may be taken, at first after a random wait."""
         due = self.not_before.get(key)
         if due is None:
-            self.forget_waits(now)
-            due = now + timedelta(seconds=spread_s * self.rng.random())
+            self.expire_waits(now)
+            due = now + timedelta(seconds=max_wait_s * self.rng.random())
             self.not_before[key] = due
         return now >= due
 
-    def forget_waits(self, now: timedelta) -> None:
+    def expire_waits(self, now: timedelta) -> None:
         """Drop waits that ended long ago."""
         oldest = now - timedelta(seconds=2 * LEASE_S)
         for key in [key for key, due in self.not_before.items() if due < oldest]:
@@ -388,7 +388,7 @@
         return [AppendToLog(ejection_stream(state.service), record, append_id)]
 
 
-def describe(
+def build_outcome_event(
     result: FoldResult, message: EjectionClaim | EjectionReturn
 ) -> RecordEvent:
     """Return the time-line event for what became of a record."""
--- a/src/wagtailstep/controllers/ejection_fold.py
+++ b/src/wagtailstep/controllers/ejection_fold.py
@@ -29,13 +29,13 @@
     """Targets out of service by the records read so far.
 
     :param out: ejections by ``target_id``, the longest out first.
-    :param returned: offset of the latest return by ``target_id``.
+    :param return_offsets: offset of the latest return by ``target_id``.
     :param table_version: highest table version that any claim was judged by.
     :param next_offset: first offset that was not read.
     """
 
-    out: dict[str, Ejection] = attrs.field(factory=dict)
-    returned: dict[str, int] = attrs.field(factory=dict)
+    ejections: dict[str, Ejection] = attrs.field(factory=dict)
+    return_offsets: dict[str, int] = attrs.field(factory=dict)
     table_version: int = 0
     next_offset: int = 0
 
@@ -57,13 +57,13 @@
         if claim.table_version < self.table_version:
             return FoldResult.REFUSED_OLD_TABLE
         self.table_version = claim.table_version
-        if self.returned.get(claim.target_id, -1) >= claim.basis_offset:
+        if self.return_offsets.get(claim.target_id, -1) >= claim.basis_offset:
             return FoldResult.REFUSED_RETURNED_SINCE
-        if not self.leaves_floor(claim):
+        if not self.keeps_floor(claim):
             return FoldResult.REFUSED_FLOOR
-        current = self.out.get(claim.target_id)
+        current = self.ejections.get(claim.target_id)
         since = offset if current is None else current.since_offset
-        self.out[claim.target_id] = Ejection(
+        self.ejections[claim.target_id] = Ejection(
             target_id=claim.target_id,
             claim_id=claim.claim_id,
             claimant=claim.claimant,
@@ -73,7 +73,7 @@
         )
         return FoldResult.EJECTED if current is None else FoldResult.RENEWED
 
-    def leaves_floor(self, claim: EjectionClaim) -> bool:
+    def keeps_floor(self, claim: EjectionClaim) -> bool:
         """Tell whether the floor holds with the claimed target out.
 
         Counted as out is whatever any reader that is fresh enough may still hold
@@ -82,19 +82,19 @@
         """
         if claim.target_id not in claim.weights:
             return False
-        counted = {*self.out, *claim.out, claim.target_id}
+        counted = {*self.ejections, *claim.out, claim.target_id}
         counted.update(
             name
-            for name, offset in self.returned.items()
+            for name, offset in self.return_offsets.items()
             if offset >= claim.settled_offset
         )
         return sum_in_service(claim.weights, counted) >= claim.floor
 
     def apply_return(self, offset: int, record: EjectionReturn) -> FoldResult:
         """Put a target back if the claim that is ended is the one in force."""
-        current = self.out.get(record.target_id)
+        current = self.ejections.get(record.target_id)
         if current is None or current.claim_id != record.claim_id:
             return FoldResult.IGNORED
-        del self.out[record.target_id]
-        self.returned[record.target_id] = offset
+        del self.ejections[record.target_id]
+        self.return_offsets[record.target_id] = offset
         return FoldResult.RETURNED
--- a/src/wagtailstep/controllers/evidence.py
+++ b/src/wagtailstep/controllers/evidence.py
@@ -12,21 +12,21 @@
 from functools import singledispatchmethod
 from typing import Any
 
-from wagtailstep.controllers.evidence_judge import Judgement, judge_target
+from wagtailstep.controllers.avoidance import PROBE_TIMEOUT_MS, Phase
+from wagtailstep.controllers.evidence_evaluation import Finding, evaluate_target
 from wagtailstep.controllers.evidence_sharing import EvidenceSharing
 from wagtailstep.controllers.evidence_state import (
-    CONNECTION_SHARE,
-    HEALTHY_FAILED,
+    CONNECTION_FAILURE_WEIGHT,
+    HEALTHY_FAILURE_RATE,
     SLOT_CAP,
     ServiceEvidence,
     TargetEvidence,
-    hypotheses_for,
-    symptoms_of,
+    get_tested_symptoms,
+    likelihood_ratios,
 )
-from wagtailstep.controllers.health import Standings
+from wagtailstep.controllers.health import HealthTracker
 from wagtailstep.controllers.sequential_test import TestLimits
-from wagtailstep.controllers.stall_watch import StallWatch
-from wagtailstep.controllers.standing import PROBE_TIMEOUT_MS, Phase
+from wagtailstep.controllers.stall_detector import StallDetector
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import (
     PeerMessageReceived,
@@ -74,11 +74,11 @@
         self.clock = clock
         self.rng = rng
         self.services: dict[str, ServiceEvidence] = {}
-        self.standings = Standings(blackboard)
-        self.were_ejected: set[str] = set()
-        self.next_scan = timedelta()
+        self.health_tracker = HealthTracker(blackboard)
+        self.previously_ejected: set[str] = set()
+        self.next_scan_at = timedelta()
         self.sharing = EvidenceSharing(blackboard, rng)
-        self.stalls = StallWatch()
+        self.stalls = StallDetector()
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
@@ -87,124 +87,124 @@
 
     @handle.register
     def _(self, event: RequestOutcome) -> list[Any]:
-        target = self.find_target(event.target_id)
+        target = self.get_target_evidence(event.target_id)
         if target is None:
             return []
-        self.stalls.note_outcome(event.target_id, self.clock.monotonic())
+        self.stalls.record_completion(event.target_id, self.clock.monotonic())
         if event.blame in (Blame.PATH, Blame.CONNECTION):
-            return self.take_path_failure(target, event.blame)
+            return self.record_path_failure(target, event.blame)
         if event.blame in (Blame.OVERLOAD, Blame.CALLER):
             return []
         if event.blame is Blame.NONE and event.verdict is not Verdict.RUN:
             return []
-        return self.take_outcome(target, event)
+        return self.record_outcome(target, event)
 
     @handle.register
     def _(self, event: ProbeFinished) -> list[Any]:
-        standing = self.standings.by_target.get(event.target_id)
-        target = self.find_target(event.target_id)
-        if standing is None or target is None:
+        state = self.health_tracker.states.get(event.target_id)
+        target = self.get_target_evidence(event.target_id)
+        if state is None or target is None:
             return []
-        if not standing.take_probe(event.succeeded, self.clock.monotonic()):
+        if not state.record_probe(event.succeeded, self.clock.monotonic()):
             return []
-        self.restart(target, Phase.RAMPING)
+        self.restart_target(target, Phase.RAMPING)
         return [RecordEvent("target-returns", {"target": event.target_id})]
 
     @handle.register
     def _(self, event: PeerMessageReceived) -> list[Any]:
-        return self.take_message(event.message)
+        return self.handle_message(event.message)
 
     @handle.register
     def _(self, event: Tick) -> list[Any]:
         now = self.clock.monotonic()
-        effects: list[Any] = list(self.advance_standings(now))
-        effects += self.judge_stalls(now)
-        self.standings.expire_candidates(now)
+        effects: list[Any] = list(self.advance_avoidance(now))
+        effects += self.evaluate_stalls(now)
+        self.health_tracker.expire_candidates(now)
         for service in self.services.values():
-            service.change_limits(self.read_limits(service.service), now)
-            effects += self.sharing.share(service, now)
-        if now >= self.next_scan:
+            service.update_limits(self.get_limits(service.service), now)
+            effects += self.sharing.build_due_messages(service, now)
+        if now >= self.next_scan_at:
             self.scan_targets(now)
         return effects
 
     @singledispatchmethod
-    def take_message(self, message: Any) -> list[Any]:
+    def handle_message(self, message: Any) -> list[Any]:
         """Take a message of another daemon; other messages are ignored."""
         return []
 
-    @take_message.register
+    @handle_message.register
     def _(self, message: EvidenceRequest) -> list[Any]:
-        self.sharing.note_request(message, self.clock.monotonic())
+        self.sharing.record_request(message, self.clock.monotonic())
         return []
 
-    @take_message.register
+    @handle_message.register
     def _(self, message: SickNotice) -> list[Any]:
-        target = self.find_target(message.target_id)
-        if target is None or self.standings.of(message.target_id).avoided:
+        target = self.get_target_evidence(message.target_id)
+        if target is None or self.health_tracker.get_state(message.target_id).avoided:
             return []
-        judgement = Judgement(Symptom(message.symptom), message.route, 1.0, False)
-        return self.avoid(target, judgement)
+        finding = Finding(Symptom(message.symptom), message.route, 1.0, False)
+        return self.avoid_target(target, finding)
 
-    @take_message.register
+    @handle_message.register
     def _(self, message: EvidenceDigest) -> list[Any]:
         effects = []
         for row in message.answers:
             entry = unpack_row(message.service, row)
-            effects += self.take_report(message.daemon_id, entry, True)
+            effects += self.handle_report(message.daemon_id, entry, True)
         for row in message.alerts:
             entry = unpack_row(message.service, row)
-            self.sharing.alert(message.service, entry.target_id)
-            effects += self.take_report(message.daemon_id, entry, False)
+            self.sharing.record_alert(message.service, entry.target_id)
+            effects += self.handle_report(message.daemon_id, entry, False)
         return effects
 
-    def take_report(
-        self, reporter: str, entry: RouteEvidence, asked: bool
+    def handle_report(
+        self, reporter: str, entry: RouteEvidence, requested: bool
     ) -> list[Any]:
         """Add what another daemon saw at one target and route.
 
         Who tells unasked does so because outcomes were bad. Counting slow ones
         among these would make healthy targets look slow.
 
-        :param asked: whether the report would have come if all had been good.
+        :param requested: whether the report would have come if all had been good.
         """
-        target = self.find_target(entry.target_id)
+        target = self.get_target_evidence(entry.target_id)
         if target is None:
             return []
         now = self.clock.monotonic()
         service = self.services[target.service]
         slot = service.limits.slot_at(now)
-        for symptom in symptoms_of(entry.route):
+        for symptom in get_tested_symptoms(entry.route):
             failing = symptom is Symptom.FAILING
             bad = entry.failed if failing else entry.slow
             good = max(0, (entry.count if failing else entry.timed) - bad)
-            if asked or symptom is not Symptom.SLOW:
-                service.add_report(target, entry.route, symptom, good, bad, slot)
+            if requested or symptom is not Symptom.SLOW:
+                service.record_report(target, entry.route, symptom, good, bad, slot)
         if entry.count > entry.failed and entry.route != STALL_ROUTE:
-            target.note_success(now, own=False)
+            target.record_success(now, local=False)
         if not entry.failed and not entry.slow:
             return []
-        target.complaints[reporter] = now
-        return self.judge(target)
+        target.bad_reports[reporter] = now
+        return self.evaluate(target)
 
-    def take_outcome(self, target: TargetEvidence, outcome: RequestOutcome) -> list:
+    def record_outcome(self, target: TargetEvidence, outcome: RequestOutcome) -> list:
         """Count an outcome that speaks for or against the backend server."""
         now = self.clock.monotonic()
         service = self.services[target.service]
         failed = outcome.blame is Blame.BACKEND_SERVER
         latency = outcome.latency - outcome.queueing
-        slow = self.time_outcome(service, target, outcome, latency, failed)
+        slow = self.record_latency(service, target, outcome, latency, failed)
         route = outcome.request.route
-        service.add_outcome(target, route, failed, slow, service.limits.slot_at(now))
+        service.record_outcome(target, route, failed, slow, service.limits.slot_at(now))
         if not failed:
-            target.note_success(now, own=True)
-        self.take_path_success(target)
-        self.count_stall(target, False, now)
+            target.record_success(now, local=True)
+        self.record_path_success(target)
+        self.record_stall(target, False, now)
         if failed or slow:
-            target.complaints[self.blackboard.this_member.daemon_id] = now
-            return self.judge(target)
+            target.bad_reports[self.blackboard.this_member.daemon_id] = now
+            return self.evaluate(target)
         return []
 
-    def time_outcome(
+    def record_latency(
         self,
         service: ServiceEvidence,
         target: TargetEvidence,
@@ -218,12 +218,12 @@
         """
         if failed:
             return None
-        warming = self.standings.of(target.target_id).phase is Phase.WARMING
-        reference = service.comparison(outcome.request.route).reference
+        warming = self.health_tracker.get_state(target.target_id).phase is Phase.WARMING
+        reference = service.get_baseline(outcome.request.route).reference
         slow = reference.is_slow(latency)
         latency_s = latency.total_seconds()
         target.add_latency(latency_s)
-        if not warming and not self.standings.of(target.target_id).avoided:
+        if not warming and not self.health_tracker.get_state(target.target_id).avoided:
             reference.add(latency_s)
         health = self.blackboard.health.get(target.target_id)
         if health is None:
@@ -232,42 +232,42 @@
             health.latency = timedelta(seconds=target.latency_s or 0.0)
         return None if warming else slow
 
-    def take_path_failure(self, target: TargetEvidence, blame: Blame) -> list[Any]:
+    def record_path_failure(self, target: TargetEvidence, blame: Blame) -> list[Any]:
         """Count an outcome against this daemon's path to a target.
 
         A connection that went silent says little of the path: a new one may work.
         """
-        ratio = hypotheses_for(Symptom.UNREACHABLE, HEALTHY_FAILED).bad
+        ratio = likelihood_ratios(Symptom.UNREACHABLE, HEALTHY_FAILURE_RATE).bad
         if blame is Blame.CONNECTION:
-            ratio *= CONNECTION_SHARE
-        self.add_to_path(target, ratio)
-        return self.judge(target)
+            ratio *= CONNECTION_FAILURE_WEIGHT
+        self.update_path_test(target, ratio)
+        return self.evaluate(target)
 
-    def take_path_success(self, target: TargetEvidence) -> None:
+    def record_path_success(self, target: TargetEvidence) -> None:
         """Count an outcome for this daemon's path to a target."""
-        if target.path.score or target.path.gain:
-            ratio = hypotheses_for(Symptom.UNREACHABLE, HEALTHY_FAILED).good
-            self.add_to_path(target, ratio)
+        if target.path.score or target.path.slot_gain:
+            ratio = likelihood_ratios(Symptom.UNREACHABLE, HEALTHY_FAILURE_RATE).good
+            self.update_path_test(target, ratio)
 
-    def add_to_path(self, target: TargetEvidence, ratio: float) -> None:
+    def update_path_test(self, target: TargetEvidence, ratio: float) -> None:
         """Add a log-likelihood ratio to the test of the path to a target."""
         limits = self.services[target.service].limits
         slot = limits.slot_at(self.clock.monotonic())
         cap = SLOT_CAP[Symptom.UNREACHABLE]
         target.path.add(ratio, cap, slot, limits.score_decay)
 
-    def judge_stalls(self, now: timedelta) -> list[Any]:
+    def evaluate_stalls(self, now: timedelta) -> list[Any]:
         """Count targets that hold requests and end none as hanging."""
         effects = []
         in_flight = self.blackboard.in_flight
-        for target, again in self.stalls.find(self.services, in_flight, now):
-            if self.standings.of(target.target_id).phase is Phase.WARMING:
+        for target, again in self.stalls.find_stalls(self.services, in_flight, now):
+            if self.health_tracker.get_state(target.target_id).phase is Phase.WARMING:
                 continue
-            self.count_stall(target, True, now, again)
-            effects += self.judge(target)
+            self.record_stall(target, True, now, again)
+            effects += self.evaluate(target)
         return effects
 
-    def count_stall(
+    def record_stall(
         self, target: TargetEvidence, stalled: bool, now: timedelta, again: bool = False
     ) -> None:
         """Count a stall, or the end of a request without one.
@@ -278,36 +278,36 @@
         service = self.services[target.service]
         slot = service.limits.slot_at(now)
         if again:
-            service.add_own_stall(target, slot)
+            service.record_local_stall(target, slot)
             return
-        service.add_outcome(target, STALL_ROUTE, False, stalled, slot)
+        service.record_outcome(target, STALL_ROUTE, False, stalled, slot)
         if stalled:
-            target.complaints[self.blackboard.this_member.daemon_id] = now
+            target.bad_reports[self.blackboard.this_member.daemon_id] = now
 
-    def judge(self, target: TargetEvidence) -> list[Any]:
+    def evaluate(self, target: TargetEvidence) -> list[Any]:
         """Judge a target after something bad was seen of it."""
         service = self.services[target.service]
-        sharing = self.sharing.sharing_of(target.service)
+        sharing = self.sharing.get_sharing(target.service)
         now = self.clock.monotonic()
         daemons = max(1, len(sharing.members))
-        judgement = judge_target(service, target, now, daemons)
-        if judgement is None:
+        finding = evaluate_target(service, target, now, daemons)
+        if finding is None:
             self.write_health(target)
             return []
-        effects = [] if not judgement.shared else self.propose(target, judgement)
-        if not self.standings.of(target.target_id).avoided:
-            effects += self.avoid(target, judgement)
+        effects = [] if not finding.pooled else self.propose_ejection(target, finding)
+        if not self.health_tracker.get_state(target.target_id).avoided:
+            effects += self.avoid_target(target, finding)
         return effects
 
-    def propose(self, target: TargetEvidence, judgement: Judgement) -> list[Any]:
+    def propose_ejection(self, target: TargetEvidence, finding: Finding) -> list[Any]:
         """Make a target a candidate for ejection and tell the other daemons."""
         now = self.clock.monotonic()
         known = target.target_id in self.blackboard.ejection_candidates
         self.blackboard.ejection_candidates[target.target_id] = EjectionCandidate(
             target_id=target.target_id,
-            symptom=judgement.symptom,
-            route=judgement.route,
-            severity=judgement.severity,
+            symptom=finding.symptom,
+            route=finding.route,
+            severity=finding.severity,
             since=now,
         )
         if known or target.target_id in self.blackboard.ejected:
@@ -316,81 +316,81 @@
             daemon_id=self.blackboard.this_member.daemon_id,
             service=target.service,
             target_id=target.target_id,
-            symptom=judgement.symptom.value,
-            route=judgement.route,
+            symptom=finding.symptom.value,
+            route=finding.route,
         )
-        return list(self.sharing.notify(notice, now))
+        return list(self.sharing.send_notice(notice, now))
 
-    def avoid(self, target: TargetEvidence, judgement: Judgement) -> list[Any]:
+    def avoid_target(self, target: TargetEvidence, finding: Finding) -> list[Any]:
         """Steer this daemon's picks away from a target for a while."""
-        standing = self.standings.of(target.target_id)
-        standing.strike(self.clock.monotonic())
+        state = self.health_tracker.get_state(target.target_id)
+        state.start_avoidance(self.clock.monotonic())
         self.write_health(target)
         fields = {
             "target": target.target_id,
-            "symptom": judgement.symptom.value,
-            "route": judgement.route,
-            "shared": str(judgement.shared).lower(),
-            "strikes": str(standing.strikes),
+            "symptom": finding.symptom.value,
+            "route": finding.route,
+            "shared": str(finding.pooled).lower(),
+            "strikes": str(state.consecutive_avoidances),
         }
         return [RecordEvent("target-avoided", fields)]
 
-    def advance_standings(self, now: timedelta) -> Iterator[Any]:
+    def advance_avoidance(self, now: timedelta) -> Iterator[Any]:
         """Follow ejections, send the probes that are due, and advance ramps."""
-        for target_id in self.were_ejected - self.blackboard.ejected:
-            target = self.find_target(target_id)
+        for target_id in self.previously_ejected - self.blackboard.ejected:
+            target = self.get_target_evidence(target_id)
             if target is not None:
-                self.restart(target, Phase.RAMPING)
-        self.were_ejected = set(self.blackboard.ejected)
-        for target_id, standing in self.standings.by_target.items():
-            if target_id in self.were_ejected or standing.phase is Phase.GOOD:
+                self.restart_target(target, Phase.RAMPING)
+        self.previously_ejected = set(self.blackboard.ejected)
+        for target_id, state in self.health_tracker.states.items():
+            if target_id in self.previously_ejected or state.phase is Phase.GOOD:
                 continue
-            if standing.probe_due(now):
+            if state.try_start_probe(now):
                 yield ProbeTarget(target_id, timedelta(milliseconds=PROBE_TIMEOUT_MS))
-            target = self.find_target(target_id)
+            target = self.get_target_evidence(target_id)
             if target is not None:
                 self.write_health(target)
 
     def scan_targets(self, now: timedelta) -> None:
         """Drop evidence on targets that left; warm up those that started."""
-        self.next_scan = now + timedelta(seconds=SCAN_INTERVAL_S)
+        self.next_scan_at = now + timedelta(seconds=SCAN_INTERVAL_S)
         known = self.blackboard.targets
         for service in self.services.values():
             for target_id in [t for t in service.targets if t not in known]:
                 del service.targets[target_id]
-                self.standings.forget(target_id)
+                self.health_tracker.remove_target(target_id)
             for target in service.targets.values():
                 incarnation = known[target.target_id].incarnation
                 if incarnation > target.incarnation:
                     target.incarnation = incarnation
-                    self.restart(target, Phase.WARMING)
+                    self.restart_target(target, Phase.WARMING)
 
     def write_health(self, target: TargetEvidence) -> None:
         """Write the judgement of a target to the blackboard."""
         threshold = self.services[target.service].limits.threshold
-        self.standings.write(target, threshold, self.clock.monotonic())
+        self.health_tracker.write_health(target, threshold, self.clock.monotonic())
 
-    def restart(self, target: TargetEvidence, phase: Phase) -> None:
+    def restart_target(self, target: TargetEvidence, phase: Phase) -> None:
         """Forget what speaks against a target and start to use it slowly."""
         threshold = self.services[target.service].limits.threshold
-        self.standings.start(target, threshold, self.clock.monotonic(), phase)
+        self.health_tracker.start_ramp(target, threshold, self.clock.monotonic(), phase)
 
-    def find_target(self, target_id: str) -> TargetEvidence | None:
+    def get_target_evidence(self, target_id: str) -> TargetEvidence | None:
         """Return the evidence on a known target, or ``None`` if it is unknown."""
         known = self.blackboard.targets.get(target_id)
         if known is None:
             return None
         service = self.services.get(known.service)
         if service is None:
-            limits = self.read_limits(known.service)
+            limits = self.get_limits(known.service)
             service = ServiceEvidence(known.service, limits)
             self.services[known.service] = service
         if target_id in service.targets:
             return service.targets[target_id]
-        target = service.target(target_id, known.availability_zone)
+        target = service.get_target(target_id, known.availability_zone)
         target.incarnation = known.incarnation
         return target
 
-    def read_limits(self, service: str) -> TestLimits:
+    def get_limits(self, service: str) -> TestLimits:
         """Return how the table wants the targets of a service judged."""
         return TestLimits.from_row(self.blackboard.table.service_row(service))
--- a/src/wagtailstep/controllers/evidence_sharing.py
+++ b/src/wagtailstep/controllers/evidence_sharing.py
@@ -15,7 +15,7 @@
 
 from wagtailstep.controllers.evidence_state import (
     SLOT_CAP,
-    Counts,
+    OutcomeCounts,
     ServiceEvidence,
     TargetEvidence,
 )
@@ -38,15 +38,15 @@
 from wagtailstep.models.fleet import Member, MemberState
 from wagtailstep.utils.codec import encode_message
 
-COLLECTORS = 2
+COLLECTOR_COUNT = 2
 MAX_ENTRIES = 32
-MAX_ASKED_DAEMONS = 32
+MAX_REQUESTED_DAEMONS = 32
 MAX_NOTIFIED_DAEMONS = 200
 DIGEST_INTERVAL_S = 0.1
 DIGEST_INTERVAL_PER_DAEMON_S = 0.005
-ASKED_FOR_S = 2.0
-ASK_AGAIN_S = 0.4
-REFRESH_S = 1.0
+REQUEST_LIFETIME_S = 2.0
+REQUEST_RENEWAL_S = 0.4
+MEMBER_REFRESH_S = 1.0
 BYTES_PER_S = 8_000
 BURST_BYTES = 24_000
 
@@ -54,13 +54,13 @@
 # failure, or several slow outcomes.
 ALERT_NATS = 1.4
 # While the pooled sum has this many nats, a collector goes on asking.
-DOUBT_NATS = 2.0
+REQUEST_NATS = 2.0
 # A target is asked about once there are this many times the alerts, and this many
 # more, than on the service's targets on average.
 ALERT_FACTOR = 2.0
 ALERT_SURPLUS = 2.0
-LEAST_ALERTS = 0.05
-SUSPECT_SHARE = 0.3
+MIN_ALERT_COUNT = 0.05
+ZONE_CHECK_FRACTION = 0.3
 
 
 def interested_members(blackboard: Blackboard, service: str) -> list[Member]:
@@ -86,7 +86,7 @@
         key = f"{service}|{member.daemon_id}"
         return xxhash.xxh64_intdigest(key.encode()), member.daemon_id
 
-    return sorted(members, key=rank)[:COLLECTORS]
+    return sorted(members, key=rank)[:COLLECTOR_COUNT]
 
 
 @attrs.define
@@ -100,7 +100,7 @@
     available: float = BURST_BYTES
     refilled_at: float = 0.0
 
-    def take(self, size: int, now_s: float) -> bool:
+    def try_acquire(self, size: int, now_s: float) -> bool:
         """Take bytes if there are enough, and tell whether there were."""
         gained = (now_s - self.refilled_at) * BYTES_PER_S
         self.available = min(BURST_BYTES, self.available + gained)
@@ -112,26 +112,26 @@
 
 
 @attrs.define
-class ServiceSharing:
+class ServiceSharingState:
     """What was told and asked about one service.
 
-    :param next_digest: monotonic time of the next digest.
-    :param asked_until: until when digests on a target were asked for.
+    :param next_digest_at: monotonic time of the next digest.
+    :param requested_until: until when digests on a target were asked for.
     :param alerts: how many times other daemons told about a target unasked; old
         ones fade.
-    :param faded_at: monotonic time when they faded last.
+    :param decayed_at: monotonic time when they faded last.
     :param members: daemons with an interest in the service.
     :param collectors: those of them that collect the evidence.
-    :param next_refresh: monotonic time when both are looked up again.
+    :param next_refresh_at: monotonic time when both are looked up again.
     """
 
-    next_digest: timedelta = timedelta()
-    asked_until: dict[str, timedelta] = attrs.field(factory=dict)
+    next_digest_at: timedelta = timedelta()
+    requested_until: dict[str, timedelta] = attrs.field(factory=dict)
     alerts: dict[str, float] = attrs.field(factory=dict)
-    faded_at: timedelta = timedelta()
+    decayed_at: timedelta = timedelta()
     members: list[Member] = attrs.field(factory=list)
     collectors: list[Member] = attrs.field(factory=list)
-    next_refresh: timedelta = timedelta()
+    next_refresh_at: timedelta = timedelta()
 
 
 class EvidenceSharing:
@@ -145,98 +145,100 @@
         self.blackboard = blackboard
         self.rng = rng
         self.budget = ByteBudget()
-        self.services: dict[str, ServiceSharing] = {}
+        self.services: dict[str, ServiceSharingState] = {}
         self.bytes_sent = 0
 
-    def sharing_of(self, service: str) -> ServiceSharing:
+    def get_sharing(self, service: str) -> ServiceSharingState:
         """Return what was told about a service, made on first use."""
         found = self.services.get(service)
         if found is None:
-            found = self.services[service] = ServiceSharing()
+            found = self.services[service] = ServiceSharingState()
         return found
 
-    def note_request(self, request: EvidenceRequest, now: timedelta) -> None:
+    def record_request(self, request: EvidenceRequest, now: timedelta) -> None:
         """Remember for which targets a collector wants digests."""
-        asked = self.sharing_of(request.service).asked_until
+        requested = self.get_sharing(request.service).requested_until
         for target_id in request.target_ids[:MAX_ENTRIES]:
-            asked[target_id] = now + timedelta(seconds=ASKED_FOR_S)
+            requested[target_id] = now + timedelta(seconds=REQUEST_LIFETIME_S)
 
-    def share(self, service: ServiceEvidence, now: timedelta) -> list[SendToPeer]:
+    def build_due_messages(
+        self, service: ServiceEvidence, now: timedelta
+    ) -> list[SendToPeer]:
         """Return the messages on a service that are due now."""
-        sharing = self.sharing_of(service.service)
-        if now < sharing.next_digest:
+        sharing = self.get_sharing(service.service)
+        if now < sharing.next_digest_at:
             return []
-        members = self.refresh(sharing, service.service, now).members
-        interval = max(DIGEST_INTERVAL_S, len(members) * DIGEST_INTERVAL_PER_DAEMON_S)
-        spread = interval * (0.8 + 0.4 * self.rng.random())
-        sharing.next_digest = now + timedelta(seconds=spread)
-        digest = self.make_digest(service, sharing, now)
+        members = self.refresh_members(sharing, service.service, now).members
+        interval_s = max(DIGEST_INTERVAL_S, len(members) * DIGEST_INTERVAL_PER_DAEMON_S)
+        jittered_s = interval_s * (0.8 + 0.4 * self.rng.random())
+        sharing.next_digest_at = now + timedelta(seconds=jittered_s)
+        digest = self.build_digest(service, sharing, now)
         effects = self.send(sharing.collectors, digest, now) if digest else []
         if self.blackboard.this_member in sharing.collectors:
-            effects += self.ask(service, sharing, now)
+            effects += self.request_evidence(service, sharing, now)
         return effects
 
-    def refresh(
-        self, sharing: ServiceSharing, service: str, now: timedelta
-    ) -> ServiceSharing:
+    def refresh_members(
+        self, sharing: ServiceSharingState, service: str, now: timedelta
+    ) -> ServiceSharingState:
         """Look up the interested daemons again if that is due."""
-        if now >= sharing.next_refresh or not sharing.members:
-            sharing.next_refresh = now + timedelta(seconds=REFRESH_S)
+        if now >= sharing.next_refresh_at or not sharing.members:
+            sharing.next_refresh_at = now + timedelta(seconds=MEMBER_REFRESH_S)
             sharing.members = interested_members(self.blackboard, service)
             sharing.collectors = choose_collectors(sharing.members, service)
         return sharing
 
-    def alert(self, service: str, target_id: str) -> None:
+    def record_alert(self, service: str, target_id: str) -> None:
         """Take note that another daemon doubts a target."""
-        alerts = self.sharing_of(service).alerts
+        alerts = self.get_sharing(service).alerts
         alerts[target_id] = alerts.get(target_id, 0.0) + 1.0
 
-    def make_digest(
-        self, service: ServiceEvidence, sharing: ServiceSharing, now: timedelta
+    def build_digest(
+        self, service: ServiceEvidence, sharing: ServiceSharingState, now: timedelta
     ) -> EvidenceDigest | None:
         """Return what is worth telling, and count from zero again."""
         answers, alerts = [], []
         names, service.unsent = service.unsent, {}
         for target in [service.targets[n] for n in names if n in service.targets]:
-            asked = sharing.asked_until.get(target.target_id, now) > now
-            for entry in take_entries(target, asked):
-                (answers if asked else alerts).append(pack_entry(entry))
+            requested = sharing.requested_until.get(target.target_id, now) > now
+            for entry in drain_entries(target, requested):
+                (answers if requested else alerts).append(pack_entry(entry))
         if not answers and not alerts:
             return None
         return EvidenceDigest(
             daemon_id=self.blackboard.this_member.daemon_id,
             service=service.service,
-            answers=self.sample(answers),
-            alerts=self.sample(alerts),
+            answers=self.sample_rows(answers),
+            alerts=self.sample_rows(alerts),
         )
 
-    def sample(self, rows: list[EvidenceRow]) -> tuple[EvidenceRow, ...]:
+    def sample_rows(self, rows: list[EvidenceRow]) -> tuple[EvidenceRow, ...]:
         """Return as many rows as a digest may have, chosen whatever they say."""
         if len(rows) > MAX_ENTRIES:
             rows = self.rng.sample(rows, MAX_ENTRIES)
         return tuple(rows)
 
-    def ask(
-        self, service: ServiceEvidence, sharing: ServiceSharing, now: timedelta
+    def request_evidence(
+        self, service: ServiceEvidence, sharing: ServiceSharingState, now: timedelta
     ) -> list[SendToPeer]:
         """Ask other daemons about targets that are in doubt here."""
-        names = names_to_ask(service, sharing, now)
+        names = select_targets_to_request(service, sharing, now)
         if not names:
             return []
         this_id = self.blackboard.this_member.daemon_id
         for name in names:
-            if sharing.asked_until.get(name, now) <= now:
-                service.targets[name].asked_at = now
+            if sharing.requested_until.get(name, now) <= now:
+                service.targets[name].requested_at = now
         request = EvidenceRequest(this_id, service.service, tuple(names))
-        self.note_request(request, now)
-        count = min(len(sharing.members), MAX_ASKED_DAEMONS)
+        self.record_request(request, now)
+        count = min(len(sharing.members), MAX_REQUESTED_DAEMONS)
         members = self.rng.sample(sharing.members, count)
         return self.send(members, request, now)
 
-    def notify(self, notice: SickNotice, now: timedelta) -> list[SendToPeer]:
+    def send_notice(self, notice: SickNotice, now: timedelta) -> list[SendToPeer]:
         """Tell the other daemons that a target is sick."""
-        sharing = self.sharing_of(notice.service)
-        members = self.refresh(sharing, notice.service, now).members
+        sharing = self.get_sharing(notice.service)
+        members = self.refresh_members(sharing, notice.service, now).members
         return self.send(members[:MAX_NOTIFIED_DAEMONS], notice, now, urgent=True)
 
     def send(
@@ -255,61 +257,67 @@
         for member in members:
             if member.daemon_id == self.blackboard.this_member.daemon_id:
                 continue
-            if not self.budget.take(size, now.total_seconds()) and not urgent:
+            if not self.budget.try_acquire(size, now.total_seconds()) and not urgent:
                 break
             self.bytes_sent += size
             effects.append(SendToPeer(member.peer_address, message, urgent))
         return effects
 
 
-def names_to_ask(
-    service: ServiceEvidence, sharing: ServiceSharing, now: timedelta
+def select_targets_to_request(
+    service: ServiceEvidence, sharing: ServiceSharingState, now: timedelta
 ) -> list[str]:
     """Return the targets in doubt whose last request has nearly ended."""
-    fade_alerts(sharing, service.limits, now)
-    soon = now + timedelta(seconds=ASK_AGAIN_S)
-    asked = sharing.asked_until
+    decay_alerts(sharing, service.limits, now)
+    renew_before = now + timedelta(seconds=REQUEST_RENEWAL_S)
+    requested = sharing.requested_until
     mean = sum(sharing.alerts.values()) / max(1, len(service.targets))
-    least = ALERT_FACTOR * mean + ALERT_SURPLUS
-    doubts = {t.target_id: measure_doubt(t) for t in service.targets.values()}
-    suspect = SUSPECT_SHARE * service.limits.threshold
+    min_alerts = ALERT_FACTOR * mean + ALERT_SURPLUS
+    scores = {t.target_id: compute_pooled_score(t) for t in service.targets.values()}
+    min_zone_score = ZONE_CHECK_FRACTION * service.limits.threshold
     # The neighbours of a suspect tell whether its whole zone is to blame.
-    zones = {t.zone for t in service.targets.values() if doubts[t.target_id] >= suspect}
+    zones = {
+        t.zone
+        for t in service.targets.values()
+        if scores[t.target_id] >= min_zone_score
+    }
     names = [
         target.target_id
         for target in service.targets.values()
-        if asked.get(target.target_id, now) <= soon
-        if sharing.alerts.get(target.target_id, 0.0) >= least
-        or doubts[target.target_id] >= DOUBT_NATS
+        if requested.get(target.target_id, now) <= renew_before
+        if sharing.alerts.get(target.target_id, 0.0) >= min_alerts
+        or scores[target.target_id] >= REQUEST_NATS
         or target.zone in zones
     ]
     return names[:MAX_ENTRIES]
 
 
-def fade_alerts(sharing: ServiceSharing, limits: TestLimits, now: timedelta) -> None:
+def decay_alerts(
+    sharing: ServiceSharingState, limits: TestLimits, now: timedelta
+) -> None:
     """Let old alerts count less, by half the service's window."""
     window_s = limits.slot_s * SLOTS_PER_WINDOW
-    age_s = (now - sharing.faded_at).total_seconds()
+    age_s = (now - sharing.decayed_at).total_seconds()
     factor = math.exp(-2 * age_s / window_s)
-    sharing.faded_at = now
+    sharing.decayed_at = now
     for target_id, count in list(sharing.alerts.items()):
-        if count * factor < LEAST_ALERTS:
+        if count * factor < MIN_ALERT_COUNT:
             del sharing.alerts[target_id]
         else:
             sharing.alerts[target_id] = count * factor
 
 
-def take_entries(target: TargetEvidence, asked: bool) -> Iterator[RouteEvidence]:
+def drain_entries(target: TargetEvidence, requested: bool) -> Iterator[RouteEvidence]:
     """Yield what is to be told of a target, and count from zero again.
 
-    :param asked: whether a collector asked for all outcomes.
+    :param requested: whether a collector asked for all outcomes.
     """
     for route, tests in target.routes.items():
         unsent = tests.unsent
         if not unsent.count:
             continue
-        tests.unsent = Counts()
-        if asked or strongest(tests.own) >= ALERT_NATS:
+        tests.unsent = OutcomeCounts()
+        if requested or get_max_score(tests.local) >= ALERT_NATS:
             yield RouteEvidence(
                 target_id=target.target_id,
                 route=route,
@@ -320,15 +328,15 @@
             )
 
 
-def measure_doubt(target: TargetEvidence) -> float:
+def compute_pooled_score(target: TargetEvidence) -> float:
     """Return the strongest sum in nats of what all daemons saw of a target."""
-    return max((strongest(t.pooled) for t in target.routes.values()), default=0.0)
+    return max((get_max_score(t.pooled) for t in target.routes.values()), default=0.0)
 
 
-def strongest(tests: dict[Symptom, SequentialTest]) -> float:
+def get_max_score(tests: dict[Symptom, SequentialTest]) -> float:
     """Return the largest sum of some tests, in nats."""
     largest = 0.0
     for symptom, test in tests.items():
-        if test.score or test.gain > 0:
+        if test.score or test.slot_gain > 0:
             largest = max(largest, test.value(SLOT_CAP[symptom]))
     return largest
--- a/src/wagtailstep/controllers/evidence_state.py
+++ b/src/wagtailstep/controllers/evidence_state.py
@@ -7,8 +7,8 @@
 
 from wagtailstep.controllers.latency_reference import LatencyReference
 from wagtailstep.controllers.sequential_test import (
-    Hypotheses,
-    Rates,
+    DecayedCounts,
+    LikelihoodRatios,
     SequentialTest,
     TestLimits,
 )
@@ -21,45 +21,47 @@
     Symptom.HANGING: 8.0,
     Symptom.UNREACHABLE: 7.0,
 }
-HEALTHY_FAILED = 0.01
-HEALTHY_SLOW = 0.1
-HEALTHY_HANGING = 0.1
-SICK_FAILED = 0.5
-SICK_SLOW = 0.45
-SICK_HANGING = 0.9
-SICK_UNREACHABLE = 0.6
-CONNECTION_SHARE = 0.5
-MOST_HEALTHY = 0.65
-MOST_SICK = 0.97
+HEALTHY_FAILURE_RATE = 0.01
+HEALTHY_SLOW_RATE = 0.1
+HEALTHY_HANGING_RATE = 0.1
+UNHEALTHY_FAILURE_RATE = 0.5
+UNHEALTHY_SLOW_RATE = 0.45
+UNHEALTHY_HANGING_RATE = 0.9
+UNHEALTHY_UNREACHABLE_RATE = 0.6
+CONNECTION_FAILURE_WEIGHT = 0.5
+MAX_HEALTHY_RATE = 0.65
+MAX_UNHEALTHY_RATE = 0.97
 PRIOR_SAMPLES = 20.0
 LATENCY_WEIGHT = 0.1
 
 
-SICK = {
-    Symptom.FAILING: SICK_FAILED,
-    Symptom.SLOW: SICK_SLOW,
-    Symptom.HANGING: SICK_HANGING,
-    Symptom.UNREACHABLE: SICK_UNREACHABLE,
+UNHEALTHY_RATES = {
+    Symptom.FAILING: UNHEALTHY_FAILURE_RATE,
+    Symptom.SLOW: UNHEALTHY_SLOW_RATE,
+    Symptom.HANGING: UNHEALTHY_HANGING_RATE,
+    Symptom.UNREACHABLE: UNHEALTHY_UNREACHABLE_RATE,
 }
-HEALTHY = {
-    Symptom.FAILING: HEALTHY_FAILED,
-    Symptom.SLOW: HEALTHY_SLOW,
-    Symptom.HANGING: HEALTHY_HANGING,
-    Symptom.UNREACHABLE: HEALTHY_FAILED,
+HEALTHY_RATES = {
+    Symptom.FAILING: HEALTHY_FAILURE_RATE,
+    Symptom.SLOW: HEALTHY_SLOW_RATE,
+    Symptom.HANGING: HEALTHY_HANGING_RATE,
+    Symptom.UNREACHABLE: HEALTHY_FAILURE_RATE,
 }
 # How much worse than the others a target has to be to count as worse at all.
-MARGIN = 1.3
-LEAST_GAP = 0.3
+HEALTHY_RATE_MARGIN = 1.3
+MIN_RATE_GAP = 0.3
 
 
 @functools.lru_cache(maxsize=512)
-def hypotheses_for(symptom: Symptom, healthy: float) -> Hypotheses:
+def likelihood_ratios(symptom: Symptom, healthy_rate: float) -> LikelihoodRatios:
     """Return the ratios for a symptom, given how often healthy targets show it."""
-    sick = min(max(SICK[symptom], healthy + LEAST_GAP), MOST_SICK)
-    return Hypotheses.between(healthy, sick)
+    unhealthy_rate = min(
+        max(UNHEALTHY_RATES[symptom], healthy_rate + MIN_RATE_GAP), MAX_UNHEALTHY_RATE
+    )
+    return LikelihoodRatios.from_rates(healthy_rate, unhealthy_rate)
 
 
-def symptoms_of(route: str) -> tuple[Symptom, ...]:
+def get_tested_symptoms(route: str) -> tuple[Symptom, ...]:
     """Return the symptoms that are tested on a route."""
     if route == STALL_ROUTE:
         return (Symptom.HANGING,)
@@ -67,7 +69,7 @@
 
 
 @attrs.define
-class Counts:
+class OutcomeCounts:
     """Outcomes since the last digest."""
 
     count: int = 0
@@ -88,23 +90,23 @@
 class RouteTests:
     """Tests of one target on one route.
 
-    :param own: tests by symptom, over the outcomes of this daemon.
+    :param local: tests by symptom, over the outcomes of this daemon.
     :param pooled: the same over the outcomes of all daemons that report here.
-    :param rates: recent outcomes of this daemon.
+    :param recent_counts: recent outcomes of this daemon.
     :param unsent: outcomes of this daemon since its last digest.
     """
 
-    own: dict[Symptom, SequentialTest]
+    local: dict[Symptom, SequentialTest]
     pooled: dict[Symptom, SequentialTest]
-    rates: Rates = attrs.field(factory=Rates)
-    unsent: Counts = attrs.field(factory=Counts)
+    recent_counts: DecayedCounts = attrs.field(factory=DecayedCounts)
+    unsent: OutcomeCounts = attrs.field(factory=OutcomeCounts)
 
 
-def make_tests(route: str) -> RouteTests:
+def create_tests(route: str) -> RouteTests:
     """Return tests of a route without evidence."""
     return RouteTests(
-        own={symptom: SequentialTest() for symptom in symptoms_of(route)},
-        pooled={symptom: SequentialTest() for symptom in symptoms_of(route)},
+        local={symptom: SequentialTest() for symptom in get_tested_symptoms(route)},
+        pooled={symptom: SequentialTest() for symptom in get_tested_symptoms(route)},
     )
 
 
@@ -118,10 +120,10 @@
     :param routes: tests by route.
     :param path: test of the path from this daemon to the target.
     :param incarnation: incarnation of the target that the evidence is about.
-    :param complaints: monotonic time of the latest bad report, by reporter.
+    :param bad_reports: monotonic time of the latest bad report, by reporter.
     :param latency_s: smoothed latency in seconds, or ``None``.
     :param succeeded_at: monotonic time when any daemon last saw a success.
-    :param asked_at: since when the other daemons are asked about the target.
+    :param requested_at: since when the other daemons are asked about the target.
     """
 
     target_id: str
@@ -130,16 +132,16 @@
     routes: dict[str, RouteTests] = attrs.field(factory=dict)
     path: SequentialTest = attrs.field(factory=SequentialTest)
     incarnation: int = 0
-    complaints: dict[str, timedelta] = attrs.field(factory=dict)
+    bad_reports: dict[str, timedelta] = attrs.field(factory=dict)
     latency_s: float | None = None
     succeeded_at: timedelta = timedelta()
-    asked_at: timedelta = timedelta()
+    requested_at: timedelta = timedelta()
 
-    def tests_of(self, route: str) -> RouteTests:
+    def get_tests(self, route: str) -> RouteTests:
         """Return the tests of a route, made on first use."""
         tests = self.routes.get(route)
         if tests is None:
-            tests = self.routes[route] = make_tests(route)
+            tests = self.routes[route] = create_tests(route)
         return tests
 
     def add_latency(self, latency_s: float) -> None:
@@ -148,56 +150,61 @@
             self.latency_s = latency_s
         self.latency_s += LATENCY_WEIGHT * (latency_s - self.latency_s)
 
-    def note_success(self, now: timedelta, own: bool) -> None:
+    def record_success(self, now: timedelta, local: bool) -> None:
         """Take note that a request succeeded, so the target isn't hanging now.
 
-        :param own: whether this daemon sent it.
+        :param local: whether this daemon sent it.
         """
         self.succeeded_at = now
         tests = self.routes.get(STALL_ROUTE)
         if tests is None:
             return
         tests.pooled[Symptom.HANGING].clear()
-        if own:
-            tests.own[Symptom.HANGING].clear()
+        if local:
+            tests.local[Symptom.HANGING].clear()
 
     def clear(self) -> None:
         """Forget what speaks against the target."""
         self.path.clear()
-        self.complaints.clear()
+        self.bad_reports.clear()
         for tests in self.routes.values():
-            for test in (*tests.own.values(), *tests.pooled.values()):
+            for test in (*tests.local.values(), *tests.pooled.values()):
                 test.clear()
 
 
 @attrs.define
-class RouteComparison:
+class RouteBaseline:
     """What a service's targets are like on one route.
 
     :param reference: latencies of targets in good standing.
-    :param rates: recent outcomes of this daemon at all targets.
+    :param recent_counts: recent outcomes of this daemon at all targets.
     """
 
     reference: LatencyReference = attrs.field(factory=LatencyReference)
-    rates: Rates = attrs.field(factory=Rates)
+    recent_counts: DecayedCounts = attrs.field(factory=DecayedCounts)
 
-    def healthy_share(self, symptom: Symptom, target: Rates) -> float:
+    def estimate_healthy_rate(
+        self, symptom: Symptom, target_counts: DecayedCounts
+    ) -> float:
         """Estimate how often a healthy target shows a symptom.
 
         Only the service's other targets count. Where they show the symptom too,
         it tells nothing about this one.
 
-        :param target: recent outcomes at the target that is judged.
+        :param target_counts: recent outcomes at the target that is judged.
         """
         if symptom is Symptom.FAILING:
-            bad = self.rates.failed - target.failed
-            count = self.rates.count - target.count
+            bad = self.recent_counts.failed - target_counts.failed
+            count = self.recent_counts.count - target_counts.count
         else:
-            bad, count = self.rates.slow - target.slow, self.rates.timed - target.timed
-        least = HEALTHY[symptom]
-        bad = max(0.0, bad) + least / MARGIN * PRIOR_SAMPLES
-        share = MARGIN * bad / (max(0.0, count) + PRIOR_SAMPLES)
-        return round(min(max(share, least), MOST_HEALTHY), 2)
+            bad, count = (
+                self.recent_counts.slow - target_counts.slow,
+                self.recent_counts.timed - target_counts.timed,
+            )
+        min_rate = HEALTHY_RATES[symptom]
+        bad = max(0.0, bad) + min_rate / HEALTHY_RATE_MARGIN * PRIOR_SAMPLES
+        healthy_rate = HEALTHY_RATE_MARGIN * bad / (max(0.0, count) + PRIOR_SAMPLES)
+        return round(min(max(healthy_rate, min_rate), MAX_HEALTHY_RATE), 2)
 
 
 @attrs.define
@@ -207,17 +214,17 @@
     :param service: its name.
     :param limits: how its targets are judged.
     :param targets: evidence by ``target_id``.
-    :param comparisons: by route.
+    :param baselines: by route.
     :param unsent: targets with outcomes since the last digest, as keys.
     """
 
     service: str
     limits: TestLimits
     targets: dict[str, TargetEvidence] = attrs.field(factory=dict)
-    comparisons: dict[str, RouteComparison] = attrs.field(factory=dict)
+    baselines: dict[str, RouteBaseline] = attrs.field(factory=dict)
     unsent: dict[str, None] = attrs.field(factory=dict)
 
-    def target(self, target_id: str, zone: str) -> TargetEvidence:
+    def get_target(self, target_id: str, zone: str) -> TargetEvidence:
         """Return the evidence on a target, made on first use."""
         found = self.targets.get(target_id)
         if found is None:
@@ -225,29 +232,29 @@
             self.targets[target_id] = found
         return found
 
-    def change_limits(self, limits: TestLimits, now: timedelta) -> None:
+    def update_limits(self, limits: TestLimits, now: timedelta) -> None:
         """Judge by other limits from now on; slots are renumbered to fit them."""
         if limits == self.limits:
             return
         self.limits = limits
         slot = limits.slot_at(now)
-        for comparison in self.comparisons.values():
-            comparison.rates.slot = slot
+        for baseline in self.baselines.values():
+            baseline.recent_counts.slot = slot
         for target in self.targets.values():
             target.path.slot = slot
             for tests in target.routes.values():
-                tests.rates.slot = slot
-                for test in (*tests.own.values(), *tests.pooled.values()):
+                tests.recent_counts.slot = slot
+                for test in (*tests.local.values(), *tests.pooled.values()):
                     test.slot = slot
 
-    def comparison(self, route: str) -> RouteComparison:
+    def get_baseline(self, route: str) -> RouteBaseline:
         """Return what the service is like on a route, made on first use."""
-        found = self.comparisons.get(route)
+        found = self.baselines.get(route)
         if found is None:
-            found = self.comparisons[route] = RouteComparison()
+            found = self.baselines[route] = RouteBaseline()
         return found
 
-    def add_outcome(
+    def record_outcome(
         self,
         target: TargetEvidence,
         route: str,
@@ -259,46 +266,46 @@
 
         :param slow: whether it was slow; ``None`` if its latency was not judged.
         """
-        tests = target.tests_of(route)
-        comparison = self.comparison(route)
-        decay = self.limits.rate_decay
+        tests = target.get_tests(route)
+        baseline = self.get_baseline(route)
+        decay = self.limits.count_decay
         timed = slow is not None
-        for rates in (tests.rates, comparison.rates):
-            rates.advance(slot, decay)
-            rates.add(1, failed, timed, bool(slow))
+        for recent_counts in (tests.recent_counts, baseline.recent_counts):
+            recent_counts.decay_to_slot(slot, decay)
+            recent_counts.add(1, failed, timed, bool(slow))
         tests.unsent.add(failed, slow)
         self.unsent[target.target_id] = None
         if route == STALL_ROUTE:
-            self.add_ratio(tests, comparison, Symptom.HANGING, bool(slow), slot)
+            self.update_tests(tests, baseline, Symptom.HANGING, bool(slow), slot)
             return
-        self.add_ratio(tests, comparison, Symptom.FAILING, failed, slot)
+        self.update_tests(tests, baseline, Symptom.FAILING, failed, slot)
         if slow is not None:
-            self.add_ratio(tests, comparison, Symptom.SLOW, slow, slot)
+            self.update_tests(tests, baseline, Symptom.SLOW, slow, slot)
 
-    def add_ratio(
+    def update_tests(
         self,
         tests: RouteTests,
-        comparison: RouteComparison,
+        baseline: RouteBaseline,
         symptom: Symptom,
         bad: bool,
         slot: int,
     ) -> None:
         """Add one outcome to the tests of one symptom."""
-        share = comparison.healthy_share(symptom, tests.rates)
-        hypotheses = hypotheses_for(symptom, share)
-        ratio = hypotheses.bad if bad else hypotheses.good
+        healthy_rate = baseline.estimate_healthy_rate(symptom, tests.recent_counts)
+        ratios = likelihood_ratios(symptom, healthy_rate)
+        ratio = ratios.bad if bad else ratios.good
         decay, cap = self.limits.score_decay, SLOT_CAP[symptom]
-        tests.own[symptom].add(ratio, cap, slot, decay)
+        tests.local[symptom].add(ratio, cap, slot, decay)
         tests.pooled[symptom].add(ratio, cap, slot, decay)
 
-    def add_own_stall(self, target: TargetEvidence, slot: int) -> None:
+    def record_local_stall(self, target: TargetEvidence, slot: int) -> None:
         """Add one more stall to this daemon's own test only."""
-        tests = target.tests_of(STALL_ROUTE)
-        ratio = hypotheses_for(Symptom.HANGING, HEALTHY_HANGING).bad
+        tests = target.get_tests(STALL_ROUTE)
+        ratio = likelihood_ratios(Symptom.HANGING, HEALTHY_HANGING_RATE).bad
         cap = SLOT_CAP[Symptom.HANGING]
-        tests.own[Symptom.HANGING].add(ratio, cap, slot, self.limits.score_decay)
+        tests.local[Symptom.HANGING].add(ratio, cap, slot, self.limits.score_decay)
 
-    def add_report(
+    def record_report(
         self,
         target: TargetEvidence,
         route: str,
@@ -308,12 +315,12 @@
         slot: int,
     ) -> None:
         """Add outcomes that another daemon reported to the pooled test."""
-        tests = target.tests_of(route)
-        comparison = self.comparison(route)
-        tests.rates.advance(slot, self.limits.rate_decay)
-        comparison.rates.advance(slot, self.limits.rate_decay)
-        share = comparison.healthy_share(symptom, tests.rates)
-        hypotheses = hypotheses_for(symptom, share)
-        ratio = bad * hypotheses.bad + good * hypotheses.good
+        tests = target.get_tests(route)
+        baseline = self.get_baseline(route)
+        tests.recent_counts.decay_to_slot(slot, self.limits.count_decay)
+        baseline.recent_counts.decay_to_slot(slot, self.limits.count_decay)
+        healthy_rate = baseline.estimate_healthy_rate(symptom, tests.recent_counts)
+        ratios = likelihood_ratios(symptom, healthy_rate)
+        ratio = bad * ratios.bad + good * ratios.good
         decay, cap = self.limits.score_decay, SLOT_CAP[symptom]
         tests.pooled[symptom].add(ratio, cap, slot, decay)
--- a/src/wagtailstep/controllers/floor.py
+++ b/src/wagtailstep/controllers/floor.py
@@ -9,13 +9,13 @@
 from collections.abc import Collection, Iterable, Mapping, Sequence
 
 
-def sum_in_service(weights: Mapping[str, float], out: Collection[str]) -> float:
+def sum_in_service(weights: Mapping[str, float], excluded: Collection[str]) -> float:
     """Return the weight that remains without the targets in ``out``.
 
     :param weights: weight by ``target_id`` of all targets that take work.
     :param out: targets to leave out; ones without a weight are ignored.
     """
-    return math.fsum(weight for name, weight in weights.items() if name not in out)
+    return math.fsum(weight for name, weight in weights.items() if name not in excluded)
 
 
 def select_removable(
@@ -36,28 +36,28 @@
     for target_id in worst_first:
         if target_id not in weights or target_id in removed:
             continue
-        allowed = sum_in_service(weights, {*removed, target_id}) >= floor
-        if allowed or not weights[target_id]:
+        keeps_floor = sum_in_service(weights, {*removed, target_id}) >= floor
+        if keeps_floor or not weights[target_id]:
             removed[target_id] = None
     return list(removed)
 
 
 def select_returns(
-    weights: Mapping[str, float], longest_out_first: Sequence[str], floor: float
+    weights: Mapping[str, float], oldest_first: Sequence[str], floor: float
 ) -> list[str]:
     """Choose the targets that must come back so that the floor holds.
 
-    The result is always a prefix of ``longest_out_first``. Daemons that know
+    The result is always a prefix of ``oldest_first``. Daemons that know
     different weights thus return prefixes of one sequence, and the union of what
     they leave out is what one of them leaves out.
 
     :param weights: weight by ``target_id`` of all targets that take work.
-    :param longest_out_first: targets that are out, in the order of the log.
+    :param oldest_first: targets that are out, in the order of the log.
     :param floor: weight that must be in service.
     :return: the shortest prefix that restores the floor, or all of them.
     """
-    for count in range(len(longest_out_first) + 1):
-        remaining = set(longest_out_first[count:])
+    for count in range(len(oldest_first) + 1):
+        remaining = set(oldest_first[count:])
         if sum_in_service(weights, remaining) >= floor:
-            return list(longest_out_first[:count])
-    return list(longest_out_first)
+            return list(oldest_first[:count])
+    return list(oldest_first)
--- a/src/wagtailstep/controllers/health.py
+++ b/src/wagtailstep/controllers/health.py
@@ -2,8 +2,8 @@
 
 from datetime import timedelta
 
+from wagtailstep.controllers.avoidance import AvoidanceState, Phase
 from wagtailstep.controllers.evidence_state import SLOT_CAP, TargetEvidence
-from wagtailstep.controllers.standing import Phase, Standing
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.fleet import TargetHealth
 
@@ -11,10 +11,10 @@
 PENALTY_PER_THRESHOLD = 8.0
 # Doubt below this share of the threshold costs a target no work: with less work
 # there would be less evidence, and the decision would come later.
-PENALTY_FREE_SHARE = 1.0
+PENALTY_FREE_FRACTION = 1.0
 
 
-class Standings:
+class HealthTracker:
     """Keep the standing of each target and write ``health`` to the blackboard.
 
     :param blackboard: ``health`` is written.
@@ -22,18 +22,18 @@
 
     def __init__(self, blackboard: Blackboard) -> None:
         self.blackboard = blackboard
-        self.by_target: dict[str, Standing] = {}
+        self.states: dict[str, AvoidanceState] = {}
 
-    def of(self, target_id: str) -> Standing:
+    def get_state(self, target_id: str) -> AvoidanceState:
         """Return the standing of a target, made on first use."""
-        found = self.by_target.get(target_id)
+        found = self.states.get(target_id)
         if found is None:
-            found = self.by_target[target_id] = Standing()
+            found = self.states[target_id] = AvoidanceState()
         return found
 
-    def forget(self, target_id: str) -> None:
+    def remove_target(self, target_id: str) -> None:
         """Drop what is known of a target that left."""
-        self.by_target.pop(target_id, None)
+        self.states.pop(target_id, None)
         self.blackboard.health.pop(target_id, None)
         self.blackboard.ejection_candidates.pop(target_id, None)
 
@@ -44,7 +44,7 @@
         for target_id in [t for t, c in candidates.items() if c.since < oldest]:
             del candidates[target_id]
 
-    def start(
+    def start_ramp(
         self, target: TargetEvidence, threshold: float, now: timedelta, phase: Phase
     ) -> None:
         """Forget what speaks against a target and start to use it slowly.
@@ -54,30 +54,33 @@
         target.clear()
         self.blackboard.ejection_candidates.pop(target.target_id, None)
         if phase is Phase.WARMING:
-            self.by_target[target.target_id] = Standing()
-        self.of(target.target_id).start_ramp(now, phase)
-        self.write(target, threshold, now)
+            self.states[target.target_id] = AvoidanceState()
+        self.get_state(target.target_id).start_ramp(now, phase)
+        self.write_health(target, threshold, now)
 
-    def write(self, target: TargetEvidence, threshold: float, now: timedelta) -> None:
+    def write_health(
+        self, target: TargetEvidence, threshold: float, now: timedelta
+    ) -> None:
         """Write the judgement of a target to the blackboard."""
-        standing = self.of(target.target_id)
-        doubt = strongest_doubt(target) / threshold
+        state = self.get_state(target.target_id)
+        suspicion = compute_suspicion_score(target) / threshold
         latency = target.latency_s
         self.blackboard.health[target.target_id] = TargetHealth(
-            penalty=1.0 + PENALTY_PER_THRESHOLD * max(0.0, doubt - PENALTY_FREE_SHARE),
+            penalty=1.0
+            + PENALTY_PER_THRESHOLD * max(0.0, suspicion - PENALTY_FREE_FRACTION),
             latency=None if latency is None else timedelta(seconds=latency),
-            steer_away=standing.avoided,
-            ramp=standing.ramp(now),
+            steer_away=state.avoided,
+            ramp=state.advance_ramp(now),
         )
 
 
-def strongest_doubt(target: TargetEvidence) -> float:
+def compute_suspicion_score(target: TargetEvidence) -> float:
     """Return the largest sum of this daemon's own tests of a target, in nats."""
     return max(
         (
             test.value(SLOT_CAP[symptom])
             for tests in target.routes.values()
-            for symptom, test in tests.own.items()
+            for symptom, test in tests.local.items()
         ),
         default=0.0,
     )
--- a/src/wagtailstep/controllers/latency_reference.py
+++ b/src/wagtailstep/controllers/latency_reference.py
@@ -6,8 +6,8 @@
 import attrs
 
 BUCKET_RATIO = 1.15
-LOWEST_S = 0.0005
-BUCKETS = 100
+MIN_LATENCY_S = 0.0005
+BUCKET_COUNT = 100
 MAX_SAMPLES = 2_048
 MIN_SAMPLES = 25
 REFRESH_SAMPLES = 16
@@ -17,11 +17,13 @@
 _LOG_RATIO = math.log(BUCKET_RATIO)
 
 
-def bucket_of(latency_s: float) -> int:
+def get_bucket(latency_s: float) -> int:
     """Return the bucket that a latency in seconds falls into."""
-    if latency_s <= LOWEST_S:
+    if latency_s <= MIN_LATENCY_S:
         return 0
-    return min(BUCKETS - 1, 1 + int(math.log(latency_s / LOWEST_S) / _LOG_RATIO))
+    return min(
+        BUCKET_COUNT - 1, 1 + int(math.log(latency_s / MIN_LATENCY_S) / _LOG_RATIO)
+    )
 
 
 @attrs.define
@@ -37,35 +39,35 @@
         ``None`` while there are too few samples to tell.
     """
 
-    counts: list[float] = attrs.field(factory=lambda: [0.0] * BUCKETS)
+    counts: list[float] = attrs.field(factory=lambda: [0.0] * BUCKET_COUNT)
     total: float = 0.0
     slow_above_s: float | None = None
-    until_refresh: int = MIN_SAMPLES
+    samples_until_refresh: int = MIN_SAMPLES
 
     def add(self, latency_s: float) -> None:
         """Add one sample in seconds."""
-        self.counts[bucket_of(latency_s)] += 1
+        self.counts[get_bucket(latency_s)] += 1
         self.total += 1
-        self.until_refresh -= 1
-        if self.until_refresh <= 0:
+        self.samples_until_refresh -= 1
+        if self.samples_until_refresh <= 0:
             self.refresh()
 
     def refresh(self) -> None:
         """Recompute the quantile and let old samples fade."""
-        self.until_refresh = REFRESH_SAMPLES
+        self.samples_until_refresh = REFRESH_SAMPLES
         self.slow_above_s = self.quantile(SLOW_QUANTILE) + SLOW_MARGIN_S
         if self.total >= MAX_SAMPLES:
             self.counts = [count / 2 for count in self.counts]
             self.total /= 2
 
-    def quantile(self, share: float) -> float:
+    def quantile(self, fraction: float) -> float:
         """Return the upper edge in seconds of the bucket with the quantile."""
-        below = 0.0
+        samples_below = 0.0
         for bucket, count in enumerate(self.counts):
-            below += count
-            if below >= share * self.total:
-                return LOWEST_S * BUCKET_RATIO**bucket
-        return LOWEST_S * BUCKET_RATIO**BUCKETS
+            samples_below += count
+            if samples_below >= fraction * self.total:
+                return MIN_LATENCY_S * BUCKET_RATIO**bucket
+        return MIN_LATENCY_S * BUCKET_RATIO**BUCKET_COUNT
 
     def is_slow(self, latency: timedelta) -> bool | None:
         """Tell whether a latency is slow, or ``None`` if that can't be told yet."""
--- a/src/wagtailstep/controllers/path_watch.py
+++ b/src/wagtailstep/controllers/path_watch.py
@@ -20,14 +20,14 @@
 from wagtailstep.utils.clock import Clock
 
 # A lost packet delays a connection by about a retransmission; a cut lasts seconds.
-FIRST_AVOIDANCE = timedelta(seconds=1)
-LONGEST_AVOIDANCE = timedelta(seconds=4)
+INITIAL_AVOIDANCE = timedelta(seconds=1)
+MAX_AVOIDANCE = timedelta(seconds=4)
 # Weight of the newest latency in the usual one.
 LATENCY_WEIGHT = 0.1
 
 
 @attrs.define
-class Path:
+class PathState:
     """The path to one target.
 
     :param avoided_until: monotonic time until which it is avoided.
@@ -39,15 +39,15 @@
     avoidance: timedelta = timedelta()
     latency: timedelta | None = None
 
-    def fail(self, now: timedelta) -> None:
+    def record_failure(self, now: timedelta) -> None:
         """Avoid the path, twice as long as the last time."""
         if self.avoided_until is not None and now < self.avoided_until:
             return
-        doubled = max(FIRST_AVOIDANCE, 2 * self.avoidance)
-        self.avoidance = min(LONGEST_AVOIDANCE, doubled)
+        doubled = max(INITIAL_AVOIDANCE, 2 * self.avoidance)
+        self.avoidance = min(MAX_AVOIDANCE, doubled)
         self.avoided_until = now + self.avoidance
 
-    def learn(self, latency: timedelta) -> None:
+    def record_latency(self, latency: timedelta) -> None:
         """Take the latency of an answer."""
         if self.latency is None:
             self.latency = latency
@@ -69,7 +69,7 @@
     ) -> None:
         self.blackboard = blackboard
         self.clock = clock
-        self.paths: dict[str, Path] = {}
+        self.paths: dict[str, PathState] = {}
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
@@ -81,13 +81,13 @@
         if event.target_id not in self.blackboard.targets:
             return []
         if event.blame is Blame.PATH:
-            return self.fail(event.target_id)
-        path = self.paths.setdefault(event.target_id, Path())
+            return self.record_failure(event.target_id)
+        path = self.paths.setdefault(event.target_id, PathState())
         if event.blame is Blame.NONE and event.verdict is Verdict.RUN:
             path.avoidance = timedelta()
             path.avoided_until = None
-            path.learn(event.latency - event.queueing)
-            self.write(event.target_id, path)
+            path.record_latency(event.latency - event.queueing)
+            self.write_health(event.target_id, path)
         return []
 
     @handle.register
@@ -96,7 +96,7 @@
         for target_id, target in self.blackboard.targets.items():
             member = self.blackboard.members.get(target.daemon_id)
             if member is not None and member.gate_address == event.gate_address:
-                effects += self.fail(target_id)
+                effects += self.record_failure(target_id)
         return effects
 
     @handle.register
@@ -108,22 +108,22 @@
                 self.blackboard.health.pop(target_id, None)
             elif path.avoided_until is not None and now >= path.avoided_until:
                 path.avoided_until = None
-                self.write(target_id, path)
+                self.write_health(target_id, path)
         return []
 
-    def fail(self, target_id: str) -> list[Any]:
+    def record_failure(self, target_id: str) -> list[Any]:
         """Avoid the path to a target."""
-        path = self.paths.setdefault(target_id, Path())
+        path = self.paths.setdefault(target_id, PathState())
         was_avoided = path.avoided_until is not None
-        path.fail(self.clock.monotonic())
-        self.write(target_id, path)
+        path.record_failure(self.clock.monotonic())
+        self.write_health(target_id, path)
         if was_avoided:
             return []
         avoided_ms = path.avoidance // timedelta(milliseconds=1)
         fields = {"target": target_id, "avoided_ms": str(avoided_ms)}
         return [RecordEvent("path-avoided", fields)]
 
-    def write(self, target_id: str, path: Path) -> None:
+    def write_health(self, target_id: str, path: PathState) -> None:
         """Write the judgement of a path to the blackboard."""
         self.blackboard.health[target_id] = TargetHealth(
             latency=path.latency, steer_away=path.avoided_until is not None
--- a/src/wagtailstep/controllers/sequential_test.py
+++ b/src/wagtailstep/controllers/sequential_test.py
@@ -15,8 +15,8 @@
 from wagtailstep.models.table import ServiceRow
 
 SLOTS_PER_WINDOW = 20
-DECAY_WINDOWS = 3
-RATE_WINDOWS = 1
+SCORE_DECAY_WINDOWS = 3
+COUNT_DECAY_WINDOWS = 1
 MIN_WINDOW_MS = 100
 MIN_RISK = 1e-300
 
@@ -28,13 +28,13 @@
     :param threshold: sum of log-likelihood ratios that decides.
     :param slot_s: length of one slot in seconds.
     :param score_decay: factor on the sum for each slot that passes.
-    :param rate_decay: factor on the rates for each slot that passes.
+    :param count_decay: factor on the rates for each slot that passes.
     """
 
     threshold: float
     slot_s: float
     score_decay: float
-    rate_decay: float
+    count_decay: float
 
     @classmethod
     @functools.lru_cache(maxsize=1_024)
@@ -45,8 +45,8 @@
         return cls(
             threshold=math.log(1 / risk),
             slot_s=window_s / SLOTS_PER_WINDOW,
-            score_decay=math.exp(-1 / (SLOTS_PER_WINDOW * DECAY_WINDOWS)),
-            rate_decay=math.exp(-1 / (SLOTS_PER_WINDOW * RATE_WINDOWS)),
+            score_decay=math.exp(-1 / (SLOTS_PER_WINDOW * SCORE_DECAY_WINDOWS)),
+            count_decay=math.exp(-1 / (SLOTS_PER_WINDOW * COUNT_DECAY_WINDOWS)),
         )
 
     def slot_at(self, now: timedelta) -> int:
@@ -59,12 +59,12 @@
     """The cumulative sum for one target, route and symptom.
 
     :param score: the sum up to the current slot, at least 0.
-    :param gain: what the current slot adds, before the cap.
+    :param slot_gain: what the current slot adds, before the cap.
     :param slot: number of the current slot.
     """
 
     score: float = 0.0
-    gain: float = 0.0
+    slot_gain: float = 0.0
     slot: int = 0
 
     def add(self, ratio: float, cap: float, slot: int, decay: float) -> float:
@@ -77,23 +77,23 @@
         """
         if slot > self.slot:
             self.score = self.value(cap) * decay ** (slot - self.slot)
-            self.gain = 0.0
+            self.slot_gain = 0.0
             self.slot = slot
-        self.gain += ratio
+        self.slot_gain += ratio
         return self.value(cap)
 
     def value(self, cap: float) -> float:
         """Return the sum with the current slot counted in."""
-        return max(0.0, self.score + max(-cap, min(cap, self.gain)))
+        return max(0.0, self.score + max(-cap, min(cap, self.slot_gain)))
 
     def clear(self) -> None:
         """Forget all evidence."""
         self.score = 0.0
-        self.gain = 0.0
+        self.slot_gain = 0.0
 
 
 @attrs.define
-class Rates:
+class DecayedCounts:
     """Decayed counts of outcomes.
 
     :param count: outcomes that speak for or against the backend server.
@@ -109,7 +109,7 @@
     slow: float = 0.0
     slot: int = 0
 
-    def advance(self, slot: int, decay: float) -> None:
+    def decay_to_slot(self, slot: int, decay: float) -> None:
         """Let the counts decay up to a slot."""
         if slot <= self.slot:
             return
@@ -129,7 +129,7 @@
 
 
 @attrs.frozen
-class Hypotheses:
+class LikelihoodRatios:
     """Log-likelihood ratios of one good and one bad outcome.
 
     :param bad: ratio of a bad outcome, positive.
@@ -140,10 +140,15 @@
     good: float
 
     @classmethod
-    def between(cls, healthy: float, sick: float) -> "Hypotheses":
+    def from_rates(
+        cls, healthy_rate: float, unhealthy_rate: float
+    ) -> "LikelihoodRatios":
         """Compute both ratios.
 
-        :param healthy: probability of a bad outcome of a healthy target.
-        :param sick: the same of a sick target; larger than ``healthy``.
+        :param healthy_rate: probability of a bad outcome of a healthy target.
+        :param unhealthy_rate: the same of a sick target; larger than ``healthy_rate``.
         """
-        return cls(math.log(sick / healthy), math.log((1 - sick) / (1 - healthy)))
+        return cls(
+            math.log(unhealthy_rate / healthy_rate),
+            math.log((1 - unhealthy_rate) / (1 - healthy_rate)),
+        )
--- a/src/wagtailstep/controllers/stall_watch.py
+++ b/src/wagtailstep/controllers/stall_detector.py
@@ -19,7 +19,7 @@
 MAX_DOUBLINGS = 8
 
 
-def stall_limit(service: ServiceEvidence, in_use: set[str]) -> timedelta | None:
+def compute_stall_limit(service: ServiceEvidence, in_use: set[str]) -> timedelta | None:
     """Return how long a target may end no request, or ``None`` if unknown.
 
     It follows the slowest route. While a route without known latencies is in use,
@@ -27,65 +27,65 @@
 
     :param in_use: routes with requests in flight.
     """
-    times = {
-        route: comparison.reference.slow_above_s
-        for route, comparison in service.comparisons.items()
+    limits_s = {
+        route: baseline.reference.slow_above_s
+        for route, baseline in service.baselines.items()
         if route != STALL_ROUTE
     }
-    if not times or any(times.get(route) is None for route in in_use):
+    if not limits_s or any(limits_s.get(route) is None for route in in_use):
         return None
-    slowest = max(time or 0.0 for time in times.values())
-    return timedelta(seconds=STALL_FACTOR * slowest + STALL_MARGIN_S)
+    slowest_s = max(limit_s or 0.0 for limit_s in limits_s.values())
+    return timedelta(seconds=STALL_FACTOR * slowest_s + STALL_MARGIN_S)
 
 
 @attrs.define
-class Stall:
+class TargetWait:
     """How long one target has ended no request.
 
-    :param since: monotonic time of the latest end.
-    :param counted: times that this was found too long.
+    :param last_completion_at: monotonic time of the latest end.
+    :param stalls_reported: times that this was found too long.
     """
 
-    since: timedelta
-    counted: int = 0
+    last_completion_at: timedelta
+    stalls_reported: int = 0
 
 
 @attrs.define
-class StallWatch:
+class StallDetector:
     """Targets with requests in flight.
 
-    :param stalls: by ``target_id``.
+    :param waits: by ``target_id``.
     """
 
-    stalls: dict[str, Stall] = attrs.field(factory=dict)
+    waits: dict[str, TargetWait] = attrs.field(factory=dict)
 
-    def note_outcome(self, target_id: str, now: timedelta) -> None:
+    def record_completion(self, target_id: str, now: timedelta) -> None:
         """Take note that a request at a target has ended."""
-        if target_id in self.stalls:
-            self.stalls[target_id] = Stall(now)
+        if target_id in self.waits:
+            self.waits[target_id] = TargetWait(now)
 
-    def follow(self, in_flight: Mapping[str, int], now: timedelta) -> None:
+    def update_watched(self, in_flight: Mapping[str, int], now: timedelta) -> None:
         """Begin to watch targets with requests in flight, and drop the others."""
         busy = {target_id for target_id, count in in_flight.items() if count > 0}
-        for target_id in [t for t in self.stalls if t not in busy]:
-            del self.stalls[target_id]
+        for target_id in [t for t in self.waits if t not in busy]:
+            del self.waits[target_id]
         for target_id in busy:
-            self.stalls.setdefault(target_id, Stall(now))
+            self.waits.setdefault(target_id, TargetWait(now))
 
-    def is_stalled(self, target_id: str, limit: timedelta, now: timedelta) -> bool:
+    def check_stalled(self, target_id: str, limit: timedelta, now: timedelta) -> bool:
         """Tell whether a target has ended nothing for too long.
 
         That is told once when ``limit`` has passed, and again whenever the wait
         has doubled.
         """
-        stall = self.stalls[target_id]
-        doublings = min(stall.counted, MAX_DOUBLINGS)
-        if now - stall.since <= limit * 2**doublings:
+        wait = self.waits[target_id]
+        doublings = min(wait.stalls_reported, MAX_DOUBLINGS)
+        if now - wait.last_completion_at <= limit * 2**doublings:
             return False
-        stall.counted += 1
+        wait.stalls_reported += 1
         return True
 
-    def find(
+    def find_stalls(
         self,
         services: Mapping[str, ServiceEvidence],
         in_flight: InFlight,
@@ -96,18 +96,20 @@
         :param services: evidence by service; targets without any are not judged.
         :param in_flight: requests that have not ended.
         """
-        self.follow(in_flight.by_target, now)
+        self.update_watched(in_flight.by_target, now)
         found: list[tuple[TargetEvidence, bool]] = []
-        if not self.stalls:
+        if not self.waits:
             return found
         for service in services.values():
-            busy = [t for t in service.targets.values() if t.target_id in self.stalls]
+            busy = [t for t in service.targets.values() if t.target_id in self.waits]
             if not busy:
                 continue
-            limit = stall_limit(service, routes_in_use(in_flight, service.service))
+            limit = compute_stall_limit(
+                service, routes_in_use(in_flight, service.service)
+            )
             for target in busy:
-                if limit and self.is_stalled(target.target_id, limit, now):
-                    again = self.stalls[target.target_id].counted > 1
+                if limit and self.check_stalled(target.target_id, limit, now):
+                    again = self.waits[target.target_id].stalls_reported > 1
                     found.append((target, again))
         return found
 
--- a/src/wagtailstep/network/gate.py
+++ b/src/wagtailstep/network/gate.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from wagtailstep.controllers.gate import GateController
-from wagtailstep.controllers.target_judge import CALL_EXCUSES
+from wagtailstep.controllers.target_judge import FAILED_CALL_WINDOW
 from wagtailstep.exceptions import (
     BadRequestError,
     DeadlineExceededError,
@@ -175,7 +175,7 @@
         refused_at = board.call_refused_at
         failed = status >= HTTPStatus.INTERNAL_SERVER_ERROR
         if failed and refused_at is not None:
-            if self.clock.monotonic() - refused_at < CALL_EXCUSES:
+            if self.clock.monotonic() - refused_at < FAILED_CALL_WINDOW:
                 headers += ((CALL_REFUSED, "?1"),)
         return headers
 
