--- a/src/wagtailstep/controllers/avoidance.py
+++ b/src/wagtailstep/controllers/avoidance.py
@@ -1,4 +1,4 @@
-"""Standing of a target at one daemon: good, avoided, on probation, ramping up."""
+"""State of a target at one daemon: in use, avoided, probed or ramping up."""
 
 import enum
 from datetime import timedelta
@@ -7,19 +7,22 @@
 
 BASE_AVOIDANCE_S = 5.0
 MAX_BACKOFF_S = 300.0
+# An avoidance or ejection counts as consecutive if it starts within this time of the
+# end of the previous one.
 REPEAT_WINDOW_S = 600.0
 PROBE_TIMEOUT_MS = 500
 PROBE_INTERVAL_S = 0.5
+# Consecutive successful probes after which a target returns.
 MIN_GOOD_PROBES = 3
 RAMP_DURATION_S = 10.0
 INITIAL_RAMP_FRACTION = 0.1
 
 
 class Phase(enum.Enum):
-    """Where a target is between being avoided and being used in full.
+    """Phase of a target between being avoided and being used at full weight.
 
-    A target ramps after a time out, and warms up after its start: only the latter
-    excuses that it is slow.
+    A target ramps up after an avoidance or ejection and warms up after a restart. Slow
+    outcomes are excused only while it warms up.
     """
 
     GOOD = "good"
@@ -30,9 +33,10 @@
 
 
 def compute_backoff(consecutive: int, base_s: float = BASE_AVOIDANCE_S) -> timedelta:
-    """Return the time out of a target, which doubles with each strike.
+    """Return the duration of an avoidance or ejection; it doubles with each repetition.
 
-    :param consecutive: times in a row that it was found sick, this one included.
+    :param consecutive: number of consecutive ones, including this one.
+    :param base_s: duration of the first one in seconds.
     """
     doublings = min(max(consecutive, 1) - 1, 20)
     return timedelta(seconds=min(MAX_BACKOFF_S, base_s * 2**doublings))
@@ -40,15 +44,15 @@
 
 @attrs.define
 class AvoidanceState:
-    """How one target is used by this daemon.
+    """How this daemon uses one target.
 
-    :param phase: where it is.
-    :param avoided_until: monotonic time when the time out ends.
-    :param consecutive_avoidances: times in a row that it was found sick.
-    :param last_avoided_at: monotonic time of the latest one.
-    :param good_probes: probes in a row that succeeded.
+    :param phase: current phase.
+    :param avoided_until: monotonic time when the avoidance ends and probing starts.
+    :param consecutive_avoidances: number of consecutive avoidances.
+    :param last_avoided_at: monotonic time when the latest avoidance started.
+    :param good_probes: consecutive successful probes.
     :param next_probe_at: monotonic time of the next probe.
-    :param ramp_started_at: monotonic time when the slow start began.
+    :param ramp_started_at: monotonic time when the ramp started.
     """
 
     phase: Phase = Phase.GOOD
@@ -61,11 +65,11 @@
 
     @property
     def avoided(self) -> bool:
-        """Tell whether the target is to be avoided."""
+        """Return whether the target must be avoided."""
         return self.phase in (Phase.AVOIDED, Phase.PROBING)
 
     def start_avoidance(self, now: timedelta) -> None:
-        """Start a time out, a longer one if the last one was not long ago."""
+        """Avoid the target, for longer if the previous avoidance was recent."""
         since_last = now - max(self.last_avoided_at, self.avoided_until)
         if since_last > timedelta(seconds=REPEAT_WINDOW_S):
             self.consecutive_avoidances = 0
@@ -76,15 +80,15 @@
         self.good_probes = 0
 
     def start_ramp(self, now: timedelta, phase: Phase = Phase.RAMPING) -> None:
-        """Start to use the target, little at first.
+        """Start to use the target, with an increasing fraction of its weight.
 
-        :param phase: whether it ramps or warms up.
+        :param phase: ``RAMPING`` or ``WARMING``.
         """
         self.phase = phase
         self.ramp_started_at = now
 
     def try_start_probe(self, now: timedelta) -> bool:
-        """Advance the phase, and tell whether a probe is to be sent now."""
+        """Advance the phase and return whether to send a probe now."""
         if self.phase is Phase.AVOIDED and now >= self.avoided_until:
             self.phase = Phase.PROBING
             self.good_probes = 0
@@ -95,9 +99,9 @@
         return True
 
     def record_probe(self, succeeded: bool, now: timedelta) -> bool:
-        """Take the result of a probe; enough good ones start the ramp.
+        """Record the result of a probe; enough consecutive successes start the ramp.
 
-        :return: whether the ramp started with this one.
+        :return: whether this probe started the ramp.
         """
         if self.phase is not Phase.PROBING:
             return False
@@ -108,7 +112,7 @@
         return True
 
     def advance_ramp(self, now: timedelta) -> float:
-        """Return the share of the weight in use; ends the ramp when it is whole."""
+        """Return the fraction of the weight in use; end the ramp when it reaches 1."""
         if self.phase not in (Phase.RAMPING, Phase.WARMING):
             return 1.0
         fraction = (now - self.ramp_started_at).total_seconds() / RAMP_DURATION_S
--- a/src/wagtailstep/controllers/call_ratios.py
+++ b/src/wagtailstep/controllers/call_ratios.py
@@ -1,7 +1,8 @@
-"""How many calls the backend server beside this daemon makes for each run of a route.
+"""Estimate how many calls the local backend server makes per run of each route.
 
-A run that is repeated makes its calls again. The ratio travels with the answers, so
-that an entry which repeats a request can charge the budgets of the called services.
+A request that is retried makes its calls again. The ratios are sent with the responses,
+so that an entry that retries a request can charge the retry budgets of the called
+services.
 """
 
 import random
@@ -18,41 +19,42 @@
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.utils.clock import Clock
 
-# Counts lose half their weight in this time, so that the ratio follows the traffic.
+# Counts are halved at this interval, so that the ratios follow changes in traffic.
 HALF_LIFE = timedelta(seconds=10)
+# Weighted runs that a route needs before its ratios are published.
 MIN_RUNS = 3.0
-# Calls per run that a route is taken to make before anything is known of it.
+# Calls per run that are assumed for a route without data.
 PRIOR_CALLS_PER_RUN = 0.1
 
 
 @attrs.define
 class RouteCalls:
-    """Runs of one route and the calls that are laid to them.
+    """Decayed counts of the runs of one route and of the calls attributed to them.
 
-    :param runs: runs, old ones for less.
-    :param calls: calls by service.
+    :param runs: decayed number of runs.
+    :param calls: decayed number of calls, by called service.
     """
 
     runs: float = 0.0
     calls: dict[str, float] = attrs.field(factory=dict)
 
     def ratio(self, service: str) -> float:
-        """Return the calls to a service for each run, with a little for the unknown."""
+        """Return the estimated calls to a service per run, smoothed by a prior."""
         calls = self.calls.get(service, 0.0) + PRIOR_CALLS_PER_RUN
         return calls / (self.runs + 1.0)
 
     def halve(self) -> None:
-        """Let all counts lose half their weight."""
+        """Halve all counts."""
         self.runs /= 2
         self.calls = {name: count / 2 for name, count in self.calls.items()}
 
 
 class CallRatios:
-    """Write ``calls_per_run`` to the blackboard.
+    """Controller that writes ``calls_per_run`` to the blackboard.
 
-    Which run makes a call can't be seen if several run at once. A call is laid to the
-    routes that run, by the ratios found so far; runs that are alone or beside other
-    routes at other times make these ratios true.
+    While several requests run at once, the one that makes a call is unknown. The call
+    is divided among the running routes in proportion to their estimated ratios. The
+    estimates converge because a route also runs alone or beside other routes.
 
     :param blackboard: ``calls_per_run`` is written.
     """
@@ -72,7 +74,7 @@
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
-        """Ignore an event that the ratios do not depend on."""
+        """Ignore events that do not affect the ratios."""
         return []
 
     @handle.register
--- a/src/wagtailstep/controllers/ejection.py
+++ b/src/wagtailstep/controllers/ejection.py
@@ -1,9 +1,9 @@
-"""Take targets out of service for the whole fleet, never below the floor.
+"""Eject targets for the whole fleet without going below the floor.
 
-A claim is appended to the stream of the service and takes effect, or doesn't, by
-the deterministic fold of that stream. A daemon applies what the fold holds to be
-out only while it surely reads the stream's end, only as long as the claim is
-renewed, and only as far as the floor holds in its own view.
+A claim is appended to the log stream of the service; the deterministic fold of that
+stream accepts or refuses it. A daemon applies an accepted ejection only while it is
+known to be up to date with the stream, while the claim is renewed, and as far as
+the floor holds in its own view.
 """
 
 import random
@@ -53,23 +53,26 @@
 from wagtailstep.utils.codec import decode_message
 from wagtailstep.utils.ids import make_id
 
+# An ejection lapses unless its claimant renews it within the lease.
 LEASE_S = 30.0
 RENEW_INTERVAL_S = 10.0
+# An ejection ends at the latest after this many times its planned duration.
 MAX_HOLD_FACTOR = 4
 CLAIM_JITTER_S = 0.2
 CLAIM_RETRY_S = 2.0
 RETURN_JITTER_S = 2.0
 RETURN_RETRY_S = 3.0
+# Planned duration of a first ejection.
 BASE_EJECTION_S = 10.0
 
 
 class EjectionController:
-    """Claim ejections, follow those of all daemons, and return targets.
+    """Claim ejections, apply those of all daemons, and return targets to service.
 
     :param settings: settings of the daemon.
     :param blackboard: ``ejected`` is written.
-    :param clock: tells the monotonic time.
-    :param rng: spreads the claims and returns of several daemons.
+    :param clock: source of the monotonic time.
+    :param rng: adds jitter to the times of claims and returns.
     """
 
     def __init__(
@@ -88,7 +91,7 @@
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
-        """Take one event and return effects; unknown events are ignored."""
+        """Handle one event and return effects; unknown events are ignored."""
         return []
 
     @handle.register
@@ -147,7 +150,7 @@
         return effects
 
     def follow_streams(self) -> list[Any]:
-        """Follow the streams of services that are served or asked for here."""
+        """Follow the streams of services that are served or requested here."""
         board = self.blackboard
         services = {*board.this_member.services, *board.wanted_services}
         effects = []
@@ -159,17 +162,17 @@
         return effects
 
     def is_fresh(self, state: StreamState, now: timedelta) -> bool:
-        """Tell whether the stream's end was reached not long ago."""
+        """Return whether the stream was recently read to its end."""
         return state.caught_up and now < state.fresh_until
 
     def owns(self, ejection: Ejection) -> bool:
-        """Tell whether this daemon answers for an ejection."""
+        """Return whether this daemon is the claimant of an ejection."""
         return ejection.claimant == self.blackboard.this_member.daemon_id
 
     def apply_record(
         self, state: StreamState, record: LogRecord, now: timedelta
     ) -> list[Any]:
-        """Fold one record and keep the time-bound state beside it."""
+        """Apply one record to the fold and update leases and ejection counts."""
         try:
             message = decode_message(record.data)
         except DecodeError as error:
@@ -188,7 +191,7 @@
         return [build_outcome_event(result, message)]
 
     def renew(self, state: StreamState, claim: EjectionClaim, now: timedelta) -> None:
-        """Start or extend the lease of an ejection."""
+        """Start or renew the lease of an ejection."""
         lease = state.leases.get(claim.target_id)
         if lease is None:
             lease = EjectionLease(first_read_at=now, expires_at=now, renew_at=now)
@@ -200,7 +203,7 @@
         previous.count = claim.strikes
 
     def serving_weights(self, service: str) -> dict[str, float]:
-        """Return the weights of the service's targets that take work, by view."""
+        """Return the weights of the service's targets known to be serving."""
         board = self.blackboard
         return {
             target.target_id: board.table.weight(target.target_id)
@@ -209,7 +212,7 @@
         }
 
     def forced_returns(self, state: StreamState) -> list[str]:
-        """Return ejected targets that the floor needs back in this view."""
+        """Return the ejected targets that the floor requires in this daemon's view."""
         if not state.fold.ejections:
             return []
         floor = self.blackboard.table.service_row(state.service).floor_weight
@@ -217,7 +220,7 @@
         return select_returns(weights, list(state.fold.ejections), floor)
 
     def write_ejected(self) -> None:
-        """Write the targets that are out in this daemon's view."""
+        """Write the targets that this daemon treats as ejected to the blackboard."""
         now = self.clock.monotonic()
         ejected: set[str] = set()
         for state in self.streams.values():
@@ -227,7 +230,7 @@
             self.blackboard.ejected = ejected
 
     def effective_ejections(self, state: StreamState, now: timedelta) -> set[str]:
-        """Return the targets of one service that are out in this view."""
+        """Return the targets of a service that this daemon treats as ejected."""
         forced = set(self.forced_returns(state))
         ejected = set()
         for target_id, ejection in state.fold.ejections.items():
@@ -238,12 +241,12 @@
         return ejected
 
     def is_outdated(self, ejection: Ejection) -> bool:
-        """Tell whether the target restarted after it was judged."""
+        """Return whether the target has restarted since the ejection was claimed."""
         target = self.blackboard.targets.get(ejection.target_id)
         return target is not None and target.incarnation > ejection.incarnation
 
     def update_ejections(self, state: StreamState, now: timedelta) -> list[Any]:
-        """Renew and probe what this daemon ejected; end what has to end."""
+        """End ejections that are due to end; renew and probe this daemon's own."""
         effects: list[Any] = []
         forced = set(self.forced_returns(state))
         for ejection in list(state.fold.ejections.values()):
@@ -281,7 +284,7 @@
         lease: EjectionLease,
         now: timedelta,
     ) -> list[Any]:
-        """Renew an ejection of this daemon and probe the target after its time."""
+        """Renew an ejection claimed here and probe its target once its time is over."""
         effects: list[Any] = []
         if now >= lease.renew_at:
             lease.renew_at = now + timedelta(seconds=CLAIM_RETRY_S)
@@ -295,7 +298,7 @@
         return effects
 
     def claim_candidates(self, state: StreamState, now: timedelta) -> list[Any]:
-        """Claim the gravest candidates, each after a short random wait."""
+        """Claim candidates, the most severe first, each after a short random wait."""
         candidates = [
             candidate
             for candidate in self.blackboard.ejection_candidates.values()
@@ -322,7 +325,7 @@
     def claim(
         self, state: StreamState, target_id: str, reason: str, strikes: int
     ) -> list[Any]:
-        """Append a claim, unless this daemon's own fold would refuse it."""
+        """Append a claim, unless it would break the floor by this daemon's fold."""
         target = self.blackboard.targets.get(target_id)
         if target is None:
             return []
@@ -350,7 +353,7 @@
     def return_target(
         self, ejection: Ejection, state: StreamState, reason: str, jitter: bool = True
     ) -> list[Any]:
-        """End an ejection; several daemons may do so at once without harm."""
+        """Append the end of an ejection; duplicates by other daemons are harmless."""
         now = self.clock.monotonic()
         key = f"return {ejection.claim_id}"
         max_wait_s = RETURN_JITTER_S if jitter and not self.owns(ejection) else 0.0
@@ -366,7 +369,7 @@
         return self.append(state, record)
 
     def is_due(self, key: str, max_wait_s: float, now: timedelta) -> bool:
-        """Tell whether an action may be taken, at first after a random wait."""
+        """Return whether an action is due; a new one waits a random time first."""
         due = self.not_before.get(key)
         if due is None:
             self.expire_waits(now)
@@ -375,7 +378,7 @@
         return now >= due
 
     def expire_waits(self, now: timedelta) -> None:
-        """Drop waits that ended long ago."""
+        """Remove wait times that have long passed."""
         oldest = now - timedelta(seconds=2 * LEASE_S)
         for key in [key for key, due in self.not_before.items() if due < oldest]:
             del self.not_before[key]
@@ -383,7 +386,7 @@
     def append(
         self, state: StreamState, record: EjectionClaim | EjectionReturn
     ) -> list[Any]:
-        """Return the effect that appends a record to the service's stream."""
+        """Return the effect that appends a record to the stream of the service."""
         append_id = make_id(self.rng)
         return [AppendToLog(ejection_stream(state.service), record, append_id)]
 
@@ -391,7 +394,7 @@
 def build_outcome_event(
     result: FoldResult, message: EjectionClaim | EjectionReturn
 ) -> RecordEvent:
-    """Return the time-line event for what became of a record."""
+    """Return the timeline event for the outcome of a record."""
     by = message.claimant if isinstance(message, EjectionClaim) else message.daemon_id
     fields = {"target": message.target_id, "by": by, "reason": message.reason}
     return RecordEvent(f"ejection-{result.value}", fields)
--- a/src/wagtailstep/controllers/ejection_fold.py
+++ b/src/wagtailstep/controllers/ejection_fold.py
@@ -1,6 +1,6 @@
-"""The deterministic fold of a stream of ejection claims.
+"""Deterministic fold of a stream of ejection claims.
 
-Two readers that have read the same records hold the same targets to be out.
+Readers that have applied the same records agree on which targets are ejected.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class FoldResult(enum.Enum):
-    """What became of one record."""
+    """Outcome of applying one record."""
 
     EJECTED = "ejected"
     RENEWED = "renewed"
@@ -26,12 +26,12 @@
 
 @attrs.define
 class EjectionFold:
-    """Targets out of service by the records read so far.
+    """Ejections in force after the records applied so far.
 
-    :param out: ejections by ``target_id``, the longest out first.
-    :param return_offsets: offset of the latest return by ``target_id``.
-    :param table_version: highest table version that any claim was judged by.
-    :param next_offset: first offset that was not read.
+    :param ejections: ejections by ``target_id``, in the order of their first claims.
+    :param return_offsets: offset of the latest return, by ``target_id``.
+    :param table_version: highest table version that any claim was based on.
+    :param next_offset: first offset that has not been applied.
     """
 
     ejections: dict[str, Ejection] = attrs.field(factory=dict)
@@ -40,9 +40,9 @@
     next_offset: int = 0
 
     def apply(self, offset: int, record: Any) -> FoldResult:
-        """Take one record of the stream.
+        """Apply one record of the stream.
 
-        :param offset: its offset; records are taken in the order of offsets.
+        :param offset: its offset; records are applied in the order of offsets.
         :param record: the decoded record; unknown ones are ignored.
         """
         self.next_offset = offset + 1
@@ -53,7 +53,7 @@
         return FoldResult.IGNORED
 
     def apply_claim(self, offset: int, claim: EjectionClaim) -> FoldResult:
-        """Eject or renew the claimed target unless that breaks the floor."""
+        """Eject the claimed target or renew it, unless the claim is to be refused."""
         if claim.table_version < self.table_version:
             return FoldResult.REFUSED_OLD_TABLE
         self.table_version = claim.table_version
@@ -74,11 +74,11 @@
         return FoldResult.EJECTED if current is None else FoldResult.RENEWED
 
     def keeps_floor(self, claim: EjectionClaim) -> bool:
-        """Tell whether the floor holds with the claimed target out.
+        """Return whether the floor holds with the claimed target ejected.
 
-        Counted as out is whatever any reader that is fresh enough may still hold
-        to be out: targets out here, out in the claimant's fold, or returned so
-        lately that not every reader has surely read it.
+        Every target that some up-to-date reader may still treat as ejected counts
+        as ejected: those ejected in this fold or in the claimant's, and those
+        returned so recently that some readers may not have read the return.
         """
         if claim.target_id not in claim.weights:
             return False
@@ -91,7 +91,7 @@
         return sum_in_service(claim.weights, counted) >= claim.floor
 
     def apply_return(self, offset: int, record: EjectionReturn) -> FoldResult:
-        """Put a target back if the claim that is ended is the one in force."""
+        """Return a target to service if the record ends the claim in force."""
         current = self.ejections.get(record.target_id)
         if current is None or current.claim_id != record.claim_id:
             return FoldResult.IGNORED
--- a/src/wagtailstep/controllers/ejection_state.py
+++ b/src/wagtailstep/controllers/ejection_state.py
@@ -1,4 +1,4 @@
-"""What a daemon keeps of one stream of ejections besides its fold."""
+"""State that a daemon keeps for one stream of ejections besides the fold."""
 
 from datetime import timedelta
 
@@ -6,25 +6,26 @@
 
 from wagtailstep.controllers.ejection_fold import EjectionFold
 
-# A reader whose last proof of having read the end is older applies no ejection.
+# A reader applies no ejections if it last confirmed reading the end of the stream
+# longer ago than this.
 FRESHNESS_MS = 5_000
-# A claimant counts a returned target as out until it read the return this long
-# ago. Longer than FRESHNESS_MS plus the longest read, so that by then no daemon still
-# holds the target to be out.
+# A claimant counts a returned target as ejected until this long after it read the
+# return. Longer than FRESHNESS_MS plus the longest read, so that by then no daemon
+# still treats the target as ejected.
 SETTLE_MS = 8_000
 
 
 @attrs.define
 class EjectionLease:
-    """What this daemon keeps of one ejection besides the fold.
-
-    :param first_read_at: monotonic time when this daemon read of it.
-    :param expires_at: monotonic time when it lapses unless renewed.
-    :param read_caught_up: whether the latest renewal was read after the stream's end
-        had been reached, and so is not an old one.
-    :param renew_at: when this daemon renews it, if it is the claimant.
-    :param next_probe_at: when this daemon probes the target, if it is the claimant.
-    :param good_probes: probes in a row that succeeded.
+    """Lease and probe state of one ejection.
+
+    :param first_read_at: monotonic time when this daemon read the first claim.
+    :param expires_at: monotonic time when the ejection lapses unless renewed.
+    :param read_caught_up: whether the latest claim was read after the end of the
+        stream had been reached once; an earlier one may be long out of date.
+    :param renew_at: when the claimant renews the ejection.
+    :param next_probe_at: when the claimant probes the target again.
+    :param good_probes: consecutive successful probes.
     """
 
     first_read_at: timedelta
@@ -37,10 +38,10 @@
 
 @attrs.define
 class EjectionCount:
-    """Ejections of one target in a row.
+    """Number of consecutive ejections of one target.
 
-    :param count: how many.
-    :param ended_at: monotonic time when this daemon read of the latest return.
+    :param count: the number.
+    :param ended_at: monotonic time when this daemon read the latest return.
     """
 
     count: int = 0
@@ -49,15 +50,15 @@
 
 @attrs.define
 class StreamState:
-    """One followed stream of ejections.
+    """State of one followed stream of ejections.
 
     :param service: the service.
     :param fold: the fold of its records.
-    :param fresh_until: until when the fold is known to be fresh enough.
-    :param caught_up: whether the end of the stream was reached once.
+    :param fresh_until: monotonic time until which the fold counts as up to date.
+    :param caught_up: whether the end of the stream has been reached once.
     :param leases: by ``target_id``, one for each ejection in the fold.
-    :param counts: by ``target_id``.
-    :param read_positions: pairs of time and offset, to tell what is settled.
+    :param counts: consecutive ejections by ``target_id``.
+    :param read_positions: monotonic times of reads and the offsets reached by them.
     """
 
     service: str
@@ -69,14 +70,14 @@
     read_positions: list[tuple[timedelta, int]] = attrs.field(factory=list)
 
     def record_read_position(self, now: timedelta) -> None:
-        """Remember how far the stream was read, as long as that matters."""
+        """Record the next offset to read; drop positions older than needed."""
         self.read_positions.append((now, self.fold.next_offset))
         oldest = now - timedelta(milliseconds=SETTLE_MS)
         while len(self.read_positions) > 1 and self.read_positions[1][0] <= oldest:
             self.read_positions.pop(0)
 
     def settled_offset(self, now: timedelta) -> int:
-        """Return the first offset not read for at least :data:`SETTLE_MS`."""
+        """Return the first offset that was unread :data:`SETTLE_MS` ago."""
         oldest = now - timedelta(milliseconds=SETTLE_MS)
         settled = [offset for at, offset in self.read_positions if at <= oldest]
         return settled[-1] if settled else 0
--- a/src/wagtailstep/controllers/evidence.py
+++ b/src/wagtailstep/controllers/evidence.py
@@ -1,9 +1,9 @@
-"""Judge targets by the outcomes of real requests.
+"""Evaluate targets by the outcomes of real requests.
 
-Three blames are kept apart. What speaks against the backend server counts in the
-tests of its target and route; what speaks against the path or a connection counts
-in a test of this daemon's own path to the target, which never leads to an
-ejection; overload and mistakes of the caller count against nobody.
+Outcomes are divided by blame. Failures of the backend server count in the tests of
+its target and route. Failures of the path or a connection count in a test of this
+daemon's own path to the target, which never leads to an ejection. Overload and
+errors of the caller count against no target.
 """
 
 import random
@@ -54,12 +54,12 @@
 
 
 class EvidenceController:
-    """Turn outcomes and reports into judgements on the blackboard.
+    """Turn outcomes and reports into health and ejection candidates.
 
     :param settings: settings of the daemon.
     :param blackboard: ``health`` and ``ejection_candidates`` are written.
-    :param clock: tells the monotonic time.
-    :param rng: spreads digests and probes.
+    :param clock: source of the monotonic time.
+    :param rng: adds jitter to digests and samples their rows and receivers.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
-        """Take one event and return effects; unknown events are ignored."""
+        """Handle one event and return effects; unknown events are ignored."""
         return []
 
     @handle.register
@@ -129,7 +129,7 @@
 
     @singledispatchmethod
     def handle_message(self, message: Any) -> list[Any]:
-        """Take a message of another daemon; other messages are ignored."""
+        """Handle a message of another daemon; other messages are ignored."""
         return []
 
     @handle_message.register
@@ -160,12 +160,12 @@
     def handle_report(
         self, reporter: str, entry: RouteEvidence, requested: bool
     ) -> list[Any]:
-        """Add what another daemon saw at one target and route.
+        """Record the outcomes that another daemon reports for one target and route.
 
-        Who tells unasked does so because outcomes were bad. Counting slow ones
-        among these would make healthy targets look slow.
+        Unrequested reports are sent only after bad outcomes. Their slow outcomes are
+        not counted, as this biased sample would make healthy targets look slow.
 
-        :param requested: whether the report would have come if all had been good.
+        :param requested: whether the report was requested, and so is unbiased.
         """
         target = self.get_target_evidence(entry.target_id)
         if target is None:
@@ -187,7 +187,7 @@
         return self.evaluate(target)
 
     def record_outcome(self, target: TargetEvidence, outcome: RequestOutcome) -> list:
-        """Count an outcome that speaks for or against the backend server."""
+        """Record an outcome that says something about the backend server."""
         now = self.clock.monotonic()
         service = self.services[target.service]
         failed = outcome.blame is Blame.BACKEND_SERVER
@@ -212,9 +212,9 @@
         latency: timedelta,
         failed: bool,
     ) -> bool | None:
-        """Compare a latency with the service's others and learn from it.
+        """Record a latency and compare it with the service's targets in general.
 
-        :return: whether it was slow, or ``None`` if that can't be told.
+        :return: whether it was slow, or ``None`` if it can't be assessed.
         """
         if failed:
             return None
@@ -233,9 +233,9 @@
         return None if warming else slow
 
     def record_path_failure(self, target: TargetEvidence, blame: Blame) -> list[Any]:
-        """Count an outcome against this daemon's path to a target.
+        """Record a failure of this daemon's path to a target.
 
-        A connection that went silent says little of the path: a new one may work.
+        An unresponsive connection is weaker evidence: a new connection may work.
         """
         ratio = likelihood_ratios(Symptom.UNREACHABLE, HEALTHY_FAILURE_RATE).bad
         if blame is Blame.CONNECTION:
@@ -244,7 +244,7 @@
         return self.evaluate(target)
 
     def record_path_success(self, target: TargetEvidence) -> None:
-        """Count an outcome for this daemon's path to a target."""
+        """Record that this daemon's path to a target worked."""
         if target.path.score or target.path.slot_gain:
             ratio = likelihood_ratios(Symptom.UNREACHABLE, HEALTHY_FAILURE_RATE).good
             self.update_path_test(target, ratio)
@@ -257,7 +257,7 @@
         target.path.add(ratio, cap, slot, limits.score_decay)
 
     def evaluate_stalls(self, now: timedelta) -> list[Any]:
-        """Count targets that hold requests and end none as hanging."""
+        """Record stalls of targets that have requests in flight and complete none."""
         effects = []
         in_flight = self.blackboard.in_flight
         for target, again in self.stalls.find_stalls(self.services, in_flight, now):
@@ -270,10 +270,10 @@
     def record_stall(
         self, target: TargetEvidence, stalled: bool, now: timedelta, again: bool = False
     ) -> None:
-        """Count a stall, or the end of a request without one.
+        """Record a stall, or that a request completed.
 
-        :param again: whether the same wait was counted before; it then tells more
-            of this daemon's path, but nothing new of the backend server.
+        :param again: whether the same wait was recorded before; it then is further
+            evidence on this daemon's path, but not on the backend server.
         """
         service = self.services[target.service]
         slot = service.limits.slot_at(now)
@@ -285,7 +285,7 @@
             target.bad_reports[self.blackboard.this_member.daemon_id] = now
 
     def evaluate(self, target: TargetEvidence) -> list[Any]:
-        """Judge a target after something bad was seen of it."""
+        """Evaluate a target after a bad outcome or report."""
         service = self.services[target.service]
         sharing = self.sharing.get_sharing(target.service)
         now = self.clock.monotonic()
@@ -300,7 +300,7 @@
         return effects
 
     def propose_ejection(self, target: TargetEvidence, finding: Finding) -> list[Any]:
-        """Make a target a candidate for ejection and tell the other daemons."""
+        """Make a target a candidate for ejection and notify the other daemons."""
         now = self.clock.monotonic()
         known = target.target_id in self.blackboard.ejection_candidates
         self.blackboard.ejection_candidates[target.target_id] = EjectionCandidate(
@@ -322,7 +322,7 @@
         return list(self.sharing.send_notice(notice, now))
 
     def avoid_target(self, target: TargetEvidence, finding: Finding) -> list[Any]:
-        """Steer this daemon's picks away from a target for a while."""
+        """Avoid a target in this daemon's routing for a limited time."""
         state = self.health_tracker.get_state(target.target_id)
         state.start_avoidance(self.clock.monotonic())
         self.write_health(target)
@@ -336,7 +336,7 @@
         return [RecordEvent("target-avoided", fields)]
 
     def advance_avoidance(self, now: timedelta) -> Iterator[Any]:
-        """Follow ejections, send the probes that are due, and advance ramps."""
+        """Ramp up returned targets, send due probes and advance ramps."""
         for target_id in self.previously_ejected - self.blackboard.ejected:
             target = self.get_target_evidence(target_id)
             if target is not None:
@@ -352,7 +352,7 @@
                 self.write_health(target)
 
     def scan_targets(self, now: timedelta) -> None:
-        """Drop evidence on targets that left; warm up those that started."""
+        """Discard evidence on targets that left; warm up those that restarted."""
         self.next_scan_at = now + timedelta(seconds=SCAN_INTERVAL_S)
         known = self.blackboard.targets
         for service in self.services.values():
@@ -366,12 +366,12 @@
                     self.restart_target(target, Phase.WARMING)
 
     def write_health(self, target: TargetEvidence) -> None:
-        """Write the judgement of a target to the blackboard."""
+        """Write the health of a target to the blackboard."""
         threshold = self.services[target.service].limits.threshold
         self.health_tracker.write_health(target, threshold, self.clock.monotonic())
 
     def restart_target(self, target: TargetEvidence, phase: Phase) -> None:
-        """Forget what speaks against a target and start to use it slowly."""
+        """Clear the evidence on a target and start ramping up its traffic."""
         threshold = self.services[target.service].limits.threshold
         self.health_tracker.start_ramp(target, threshold, self.clock.monotonic(), phase)
 
@@ -392,5 +392,5 @@
         return target
 
     def get_limits(self, service: str) -> TestLimits:
-        """Return how the table wants the targets of a service judged."""
+        """Return the test limits of a service according to the table."""
         return TestLimits.from_row(self.blackboard.table.service_row(service))
--- a/src/wagtailstep/controllers/evidence_evaluation.py
+++ b/src/wagtailstep/controllers/evidence_evaluation.py
@@ -1,4 +1,4 @@
-"""Judging a target by its evidence, in comparison with its service's others."""
+"""Evaluate a target by its evidence, compared with its service's other targets."""
 
 from collections.abc import Iterator
 from datetime import timedelta
@@ -13,34 +13,39 @@
 )
 from wagtailstep.models.evidence import STALL_ROUTE, Symptom
 
-# A test at this share of its threshold is doubtful: too little to decide about
-# its target, enough to see that the cause is not this target alone.
+# A test whose score reaches this fraction of its threshold counts as symptomatic: too
+# little to decide about its target, but enough to show that others are affected too.
 SYMPTOMATIC_FRACTION = 0.15
+# A cause is common if at least this fraction of the other targets is symptomatic.
 COMMON_FRACTION = 0.5
+# Scores with a common cause are reduced to this fraction of the threshold.
 COMMON_SCORE_FRACTION = 0.3
-# A path that is avoided costs no other daemon anything, so less evidence will do.
+# Fractions of the threshold at which this daemon alone avoids an unreachable or hanging
+# target. Avoiding a path costs other daemons nothing, so less evidence suffices.
 PATH_THRESHOLD_FRACTION = 0.4
 STALL_THRESHOLD_FRACTION = 0.6
 BAD_REPORT_WINDOW_S = 10.0
-# A hanging backend server ends no request of any daemon. If one succeeded within
-# this time, the fault lies in the path or the connection of those that wait.
+# A hanging backend server completes no request of any daemon. If one succeeded within
+# this time, the fault lies in the paths or connections of the waiting daemons.
 NO_SUCCESS_S = 0.5
-# By this time after they were first asked, other daemons have told of successes.
+# Time after the first request by which other daemons have reported successes.
 REPORT_WAIT_S = 0.3
+# Daemons that must have reported bad outcomes within BAD_REPORT_WINDOW_S before the
+# pooled evidence counts.
 MIN_REPORTERS = 2
-# Part of each route's sum that doesn't count when the routes are added up, since
-# several sums are more likely to be a little above 0 than one.
+# Nats deducted from each route's score before summing over routes, since with several
+# routes some scores are above 0 by chance.
 ROUTE_DEDUCTION = 1.0
 
 
 @attrs.frozen
 class Finding:
-    """What the evidence says of a target.
+    """A fault of a target that the evidence shows.
 
     :param symptom: what is wrong.
-    :param route: the route that shows it, or an empty string.
-    :param severity: the sum over its threshold, at least 1.
-    :param pooled: whether the daemons together say so, not this one alone.
+    :param route: the affected route, or an empty string.
+    :param severity: the score divided by its threshold, at least 1.
+    :param pooled: whether the evidence of all daemons shows it, or only local evidence.
     """
 
     symptom: Symptom
@@ -52,7 +57,7 @@
 def get_score(
     target: TargetEvidence, route: str, symptom: Symptom, pooled: bool
 ) -> float:
-    """Return the sum of one test, 0 if there is no evidence."""
+    """Return the score of one test, 0 if there is no evidence."""
     tests = target.routes.get(route)
     if tests is None:
         return 0.0
@@ -63,7 +68,7 @@
 def get_other_targets(
     service: ServiceEvidence, target: TargetEvidence
 ) -> list[TargetEvidence]:
-    """Return the service's other targets that there is evidence on."""
+    """Return the service's other targets with evidence."""
     return [other for other in service.targets.values() if other is not target]
 
 
@@ -74,7 +79,7 @@
     symptom: Symptom,
     pooled: bool,
 ) -> float:
-    """Return the share of targets that show a symptom as well, from 0 to 1."""
+    """Return the fraction of targets in use on a route that show a symptom."""
     seen = [other for other in others if route in other.routes]
     if not seen:
         return 0.0
@@ -92,10 +97,10 @@
     symptom: Symptom,
     pooled: bool,
 ) -> bool:
-    """Tell whether the cause lies in the whole service or in one zone.
+    """Return whether the cause affects the whole service or one availability zone.
 
-    A slow zone is a matter of the path or the zone. Failures are answers of the
-    backend server itself and are not excused by its zone.
+    Slowness in a whole zone is caused by the zone or the path to it. Failures are
+    responses of the backend server itself, which its zone does not explain.
     """
     others = get_other_targets(service, target)
     if symptomatic_fraction(service, others, route, symptom, pooled) >= COMMON_FRACTION:
@@ -111,7 +116,7 @@
 def find_exceeded_tests(
     service: ServiceEvidence, target: TargetEvidence
 ) -> Iterator[Finding]:
-    """Yield the tests of a target that exceed the threshold."""
+    """Yield a finding for each test of a target that reaches its threshold."""
     threshold = service.limits.threshold
     for route in target.routes:
         for symptom in get_tested_symptoms(route):
@@ -132,9 +137,9 @@
 def sum_over_routes(
     target: TargetEvidence, symptom: Symptom, pooled: bool
 ) -> tuple[str, float]:
-    """Add up what all routes tell of a symptom.
+    """Sum the scores of a symptom over all routes.
 
-    :return: the worst route and the sum over all routes.
+    :return: the route with the highest score, and the sum.
     """
     total, worst, worst_route = 0.0, 0.0, ""
     for route in target.routes:
@@ -148,7 +153,7 @@
 
 
 def count_reporters(target: TargetEvidence, now: timedelta) -> int:
-    """Return how many daemons reported a bad outcome lately."""
+    """Return how many daemons recently reported a bad outcome."""
     oldest = now - timedelta(seconds=BAD_REPORT_WINDOW_S)
     return sum(at >= oldest for at in target.bad_reports.values())
 
@@ -156,11 +161,11 @@
 def evaluate_target(
     service: ServiceEvidence, target: TargetEvidence, now: timedelta, daemons: int
 ) -> Finding | None:
-    """Judge a target.
+    """Evaluate a target.
 
-    :param daemons: number of daemons that could complain, this one included.
-    :return: the gravest judgement, one of all daemons before one of this daemon
-        alone, or ``None`` for a target in good standing.
+    :param daemons: number of daemons that could report outcomes, including this one.
+    :return: the most severe finding, pooled ones before local ones, or ``None`` if
+        there is none.
     """
     min_reporters = min(MIN_REPORTERS, daemons)
     corroborated = count_reporters(target, now) >= min_reporters
@@ -185,10 +190,12 @@
 def attribute_to_common_cause(
     target: TargetEvidence, symptom: Symptom, pooled: bool, max_score: float
 ) -> None:
-    """Reduce evidence that has another cause, lest chance single out this target.
+    """Reduce scores that a common cause explains.
 
-    :param max_score: sum that is left at most. It keeps the target doubtful, so that
-        the others are excused by it in turn.
+    Otherwise a small random excess could single out one of many affected targets.
+
+    :param max_score: highest score that remains. It keeps the target symptomatic, so
+        that the cause still counts as common for the other targets.
     """
     for tests in target.routes.values():
         test = (tests.pooled if pooled else tests.local).get(symptom)
@@ -198,7 +205,7 @@
 
 
 def is_path_fault(symptom: Symptom, target: TargetEvidence, now: timedelta) -> bool:
-    """Tell whether a target seems to hang for some daemons only."""
+    """Return whether a target may be hanging for only some daemons."""
     if symptom is not Symptom.HANGING:
         return False
     reports_due = now - target.requested_at >= timedelta(seconds=REPORT_WAIT_S)
@@ -207,10 +214,10 @@
 
 
 def evaluate_path(service: ServiceEvidence, target: TargetEvidence) -> Finding | None:
-    """Judge this daemon's path to a target.
+    """Evaluate this daemon's path to a target.
 
     If the paths to many targets fail, the fault is near this daemon and avoiding
-    some of them is of no use.
+    single targets does not help.
     """
     min_score = PATH_THRESHOLD_FRACTION * service.limits.threshold
     score = target.path.value(SLOT_CAP[Symptom.UNREACHABLE])
--- a/src/wagtailstep/controllers/evidence_sharing.py
+++ b/src/wagtailstep/controllers/evidence_sharing.py
@@ -1,8 +1,8 @@
-"""Sharing evidence: who collects it, and what is sent to whom.
+"""Share evidence between daemons: choose its collectors and build the messages.
 
 A few daemons collect the evidence on a service. They are chosen by rendezvous
-hashing among the daemons with an interest in the service, so all daemons with the
-same members choose the same ones, and no one has to be told.
+hashing among the daemons interested in the service, so that all daemons with the
+same membership view choose the same collectors without any coordination.
 """
 
 import math
@@ -39,32 +39,38 @@
 from wagtailstep.utils.codec import encode_message
 
 COLLECTOR_COUNT = 2
+# Limit on the rows of each part of a digest and on the targets of a request.
 MAX_ENTRIES = 32
 MAX_REQUESTED_DAEMONS = 32
 MAX_NOTIFIED_DAEMONS = 200
 DIGEST_INTERVAL_S = 0.1
 DIGEST_INTERVAL_PER_DAEMON_S = 0.005
+# Daemons report on a requested target for this time; the request is repeated when at
+# most REQUEST_RENEWAL_S are left.
 REQUEST_LIFETIME_S = 2.0
 REQUEST_RENEWAL_S = 0.4
 MEMBER_REFRESH_S = 1.0
 BYTES_PER_S = 8_000
 BURST_BYTES = 24_000
 
-# A daemon's own sum of this many nats makes it tell without being asked: one
-# failure, or several slow outcomes.
+# A daemon reports a target unrequested once one of its local scores reaches this many
+# nats: after one failure, or several slow outcomes.
 ALERT_NATS = 1.4
-# While the pooled sum has this many nats, a collector goes on asking.
+# A collector requests evidence on a target whose pooled score reaches this many nats.
 REQUEST_NATS = 2.0
-# A target is asked about once there are this many times the alerts, and this many
-# more, than on the service's targets on average.
+# A collector also requests evidence on a target whose alerts reach ALERT_FACTOR times
+# the average of the service's targets plus ALERT_SURPLUS.
 ALERT_FACTOR = 2.0
 ALERT_SURPLUS = 2.0
+# Decayed alert counts below this are discarded.
 MIN_ALERT_COUNT = 0.05
+# A pooled score of this fraction of the threshold makes a collector request evidence on
+# all targets in the zone.
 ZONE_CHECK_FRACTION = 0.3
 
 
 def interested_members(blackboard: Blackboard, service: str) -> list[Member]:
-    """Return the daemons with an interest in a service, this one always included.
+    """Return the daemons interested in a service, always including this one.
 
     :return: members in the order of their names.
     """
@@ -91,7 +97,7 @@
 
 @attrs.define
 class ByteBudget:
-    """A token bucket for the bytes of evidence that this daemon sends.
+    """Token bucket for the bytes of evidence that this daemon sends.
 
     :param available: bytes that may be sent now.
     :param refilled_at: monotonic time in seconds of the last refill.
@@ -101,7 +107,7 @@
     refilled_at: float = 0.0
 
     def try_acquire(self, size: int, now_s: float) -> bool:
-        """Take bytes if there are enough, and tell whether there were."""
+        """Consume bytes if enough are available, and return whether they were."""
         gained = (now_s - self.refilled_at) * BYTES_PER_S
         self.available = min(BURST_BYTES, self.available + gained)
         self.refilled_at = now_s
@@ -113,16 +119,17 @@
 
 @attrs.define
 class ServiceSharingState:
-    """What was told and asked about one service.
+    """State of the evidence exchange for one service.
 
     :param next_digest_at: monotonic time of the next digest.
-    :param requested_until: until when digests on a target were asked for.
-    :param alerts: how many times other daemons told about a target unasked; old
-        ones fade.
-    :param decayed_at: monotonic time when they faded last.
-    :param members: daemons with an interest in the service.
+    :param requested_until: monotonic time until which digests on a target are
+        requested, by ``target_id``.
+    :param alerts: decayed number of unrequested reports by other daemons, by
+        ``target_id``.
+    :param decayed_at: monotonic time when the alerts were last decayed.
+    :param members: daemons interested in the service.
     :param collectors: those of them that collect the evidence.
-    :param next_refresh_at: monotonic time when both are looked up again.
+    :param next_refresh_at: monotonic time when both lists are refreshed.
     """
 
     next_digest_at: timedelta = timedelta()
@@ -135,10 +142,10 @@
 
 
 class EvidenceSharing:
-    """Make the messages that carry evidence between daemons.
+    """Build the messages that carry evidence between daemons.
 
     :param blackboard: read for members.
-    :param rng: spreads the times of digests.
+    :param rng: adds jitter to the times of digests; samples rows and receivers.
     """
 
     def __init__(self, blackboard: Blackboard, rng: random.Random) -> None:
@@ -149,14 +156,14 @@
         self.bytes_sent = 0
 
     def get_sharing(self, service: str) -> ServiceSharingState:
-        """Return what was told about a service, made on first use."""
+        """Return the exchange state of a service, created on first use."""
         found = self.services.get(service)
         if found is None:
             found = self.services[service] = ServiceSharingState()
         return found
 
     def record_request(self, request: EvidenceRequest, now: timedelta) -> None:
-        """Remember for which targets a collector wants digests."""
+        """Record for which targets a collector requests digests."""
         requested = self.get_sharing(request.service).requested_until
         for target_id in request.target_ids[:MAX_ENTRIES]:
             requested[target_id] = now + timedelta(seconds=REQUEST_LIFETIME_S)
@@ -164,7 +171,7 @@
     def build_due_messages(
         self, service: ServiceEvidence, now: timedelta
     ) -> list[SendToPeer]:
-        """Return the messages on a service that are due now."""
+        """Build the messages about a service that are due now."""
         sharing = self.get_sharing(service.service)
         if now < sharing.next_digest_at:
             return []
@@ -181,7 +188,7 @@
     def refresh_members(
         self, sharing: ServiceSharingState, service: str, now: timedelta
     ) -> ServiceSharingState:
-        """Look up the interested daemons again if that is due."""
+        """Refresh the lists of interested daemons and collectors if due."""
         if now >= sharing.next_refresh_at or not sharing.members:
             sharing.next_refresh_at = now + timedelta(seconds=MEMBER_REFRESH_S)
             sharing.members = interested_members(self.blackboard, service)
@@ -189,14 +196,14 @@
         return sharing
 
     def record_alert(self, service: str, target_id: str) -> None:
-        """Take note that another daemon doubts a target."""
+        """Record an unrequested report by another daemon on a target."""
         alerts = self.get_sharing(service).alerts
         alerts[target_id] = alerts.get(target_id, 0.0) + 1.0
 
     def build_digest(
         self, service: ServiceEvidence, sharing: ServiceSharingState, now: timedelta
     ) -> EvidenceDigest | None:
-        """Return what is worth telling, and count from zero again."""
+        """Build a digest of the unsent outcomes and reset their counts."""
         answers, alerts = [], []
         names, service.unsent = service.unsent, {}
         for target in [service.targets[n] for n in names if n in service.targets]:
@@ -213,7 +220,7 @@
         )
 
     def sample_rows(self, rows: list[EvidenceRow]) -> tuple[EvidenceRow, ...]:
-        """Return as many rows as a digest may have, chosen whatever they say."""
+        """Return at most :data:`MAX_ENTRIES` rows, sampled uniformly."""
         if len(rows) > MAX_ENTRIES:
             rows = self.rng.sample(rows, MAX_ENTRIES)
         return tuple(rows)
@@ -221,7 +228,7 @@
     def request_evidence(
         self, service: ServiceEvidence, sharing: ServiceSharingState, now: timedelta
     ) -> list[SendToPeer]:
-        """Ask other daemons about targets that are in doubt here."""
+        """Request evidence from other daemons on suspicious targets."""
         names = select_targets_to_request(service, sharing, now)
         if not names:
             return []
@@ -236,7 +243,7 @@
         return self.send(members, request, now)
 
     def send_notice(self, notice: SickNotice, now: timedelta) -> list[SendToPeer]:
-        """Tell the other daemons that a target is sick."""
+        """Notify the other daemons that a target is unhealthy."""
         sharing = self.get_sharing(notice.service)
         members = self.refresh_members(sharing, notice.service, now).members
         return self.send(members[:MAX_NOTIFIED_DAEMONS], notice, now, urgent=True)
@@ -248,9 +255,9 @@
         now: timedelta,
         urgent: bool = False,
     ) -> list[SendToPeer]:
-        """Address a message to members, as far as the byte budget allows.
+        """Send a message to members as far as the byte budget allows.
 
-        Urgent messages are few and are sent in any case.
+        Urgent messages are few and are sent regardless of the budget.
         """
         size = len(encode_message(message))
         effects = []
@@ -267,7 +274,7 @@
 def select_targets_to_request(
     service: ServiceEvidence, sharing: ServiceSharingState, now: timedelta
 ) -> list[str]:
-    """Return the targets in doubt whose last request has nearly ended."""
+    """Return the suspicious targets without a request or with one about to expire."""
     decay_alerts(sharing, service.limits, now)
     renew_before = now + timedelta(seconds=REQUEST_RENEWAL_S)
     requested = sharing.requested_until
@@ -275,7 +282,7 @@
     min_alerts = ALERT_FACTOR * mean + ALERT_SURPLUS
     scores = {t.target_id: compute_pooled_score(t) for t in service.targets.values()}
     min_zone_score = ZONE_CHECK_FRACTION * service.limits.threshold
-    # The neighbours of a suspect tell whether its whole zone is to blame.
+    # Evidence on its neighbours shows whether the whole zone of a target is affected.
     zones = {
         t.zone
         for t in service.targets.values()
@@ -295,7 +302,7 @@
 def decay_alerts(
     sharing: ServiceSharingState, limits: TestLimits, now: timedelta
 ) -> None:
-    """Let old alerts count less, by half the service's window."""
+    """Decay the alerts, with a time constant of half the detection window."""
     window_s = limits.slot_s * SLOTS_PER_WINDOW
     age_s = (now - sharing.decayed_at).total_seconds()
     factor = math.exp(-2 * age_s / window_s)
@@ -308,9 +315,10 @@
 
 
 def drain_entries(target: TargetEvidence, requested: bool) -> Iterator[RouteEvidence]:
-    """Yield what is to be told of a target, and count from zero again.
+    """Yield the unsent outcomes of a target that are to be sent; reset all counts.
 
-    :param requested: whether a collector asked for all outcomes.
+    :param requested: whether a collector requested all outcomes; without that only
+        routes with suspicious outcomes are sent.
     """
     for route, tests in target.routes.items():
         unsent = tests.unsent
@@ -329,12 +337,12 @@
 
 
 def compute_pooled_score(target: TargetEvidence) -> float:
-    """Return the strongest sum in nats of what all daemons saw of a target."""
+    """Return the highest pooled score of a target in nats."""
     return max((get_max_score(t.pooled) for t in target.routes.values()), default=0.0)
 
 
 def get_max_score(tests: dict[Symptom, SequentialTest]) -> float:
-    """Return the largest sum of some tests, in nats."""
+    """Return the highest score of some tests in nats."""
     largest = 0.0
     for symptom, test in tests.items():
         if test.score or test.slot_gain > 0:
--- a/src/wagtailstep/controllers/evidence_state.py
+++ b/src/wagtailstep/controllers/evidence_state.py
@@ -1,4 +1,4 @@
-"""What one daemon knows about targets from outcomes, and how it is counted."""
+"""Evidence on targets that one daemon has, and how outcomes are counted."""
 
 import functools
 from datetime import timedelta
@@ -14,13 +14,14 @@
 )
 from wagtailstep.models.evidence import STALL_ROUTE, Symptom
 
-# Most that one slot of time may add to a sum, in nats.
+# Limit on what one time slot may add to a score or take from it, in nats.
 SLOT_CAP = {
     Symptom.FAILING: 8.0,
     Symptom.SLOW: 2.0,
     Symptom.HANGING: 8.0,
     Symptom.UNREACHABLE: 7.0,
 }
+# Expected rates of symptoms among the outcomes of healthy and unhealthy targets.
 HEALTHY_FAILURE_RATE = 0.01
 HEALTHY_SLOW_RATE = 0.1
 HEALTHY_HANGING_RATE = 0.1
@@ -28,10 +29,13 @@
 UNHEALTHY_SLOW_RATE = 0.45
 UNHEALTHY_HANGING_RATE = 0.9
 UNHEALTHY_UNREACHABLE_RATE = 0.6
+# Weight of an unresponsive connection as evidence against the path.
 CONNECTION_FAILURE_WEIGHT = 0.5
 MAX_HEALTHY_RATE = 0.65
 MAX_UNHEALTHY_RATE = 0.97
+# Number of assumed healthy outcomes added to the measured ones.
 PRIOR_SAMPLES = 20.0
+# Weight of the newest sample in the smoothed latency.
 LATENCY_WEIGHT = 0.1
 
 
@@ -47,14 +51,15 @@
     Symptom.HANGING: HEALTHY_HANGING_RATE,
     Symptom.UNREACHABLE: HEALTHY_FAILURE_RATE,
 }
-# How much worse than the others a target has to be to count as worse at all.
+# Factor by which a target must be worse than the others to count as worse.
 HEALTHY_RATE_MARGIN = 1.3
+# Minimum difference between the rates of unhealthy and healthy targets.
 MIN_RATE_GAP = 0.3
 
 
 @functools.lru_cache(maxsize=512)
 def likelihood_ratios(symptom: Symptom, healthy_rate: float) -> LikelihoodRatios:
-    """Return the ratios for a symptom, given how often healthy targets show it."""
+    """Return the ratios for a symptom, given its rate at healthy targets."""
     unhealthy_rate = min(
         max(UNHEALTHY_RATES[symptom], healthy_rate + MIN_RATE_GAP), MAX_UNHEALTHY_RATE
     )
@@ -70,7 +75,7 @@
 
 @attrs.define
 class OutcomeCounts:
-    """Outcomes since the last digest."""
+    """Numbers of outcomes since the last digest."""
 
     count: int = 0
     failed: int = 0
@@ -78,7 +83,7 @@
     slow: int = 0
 
     def add(self, failed: bool, slow: bool | None) -> None:
-        """Add one outcome; ``slow`` is ``None`` if its latency was not judged."""
+        """Add one outcome; ``slow`` is ``None`` if its latency was not assessed."""
         self.count += 1
         self.failed += failed
         if slow is not None:
@@ -90,8 +95,8 @@
 class RouteTests:
     """Tests of one target on one route.
 
-    :param local: tests by symptom, over the outcomes of this daemon.
-    :param pooled: the same over the outcomes of all daemons that report here.
+    :param local: tests by symptom over the outcomes of this daemon.
+    :param pooled: the same over the outcomes of this daemon and all that report to it.
     :param recent_counts: recent outcomes of this daemon.
     :param unsent: outcomes of this daemon since its last digest.
     """
@@ -103,7 +108,7 @@
 
 
 def create_tests(route: str) -> RouteTests:
-    """Return tests of a route without evidence."""
+    """Create the tests of a route, without evidence."""
     return RouteTests(
         local={symptom: SequentialTest() for symptom in get_tested_symptoms(route)},
         pooled={symptom: SequentialTest() for symptom in get_tested_symptoms(route)},
@@ -120,10 +125,10 @@
     :param routes: tests by route.
     :param path: test of the path from this daemon to the target.
     :param incarnation: incarnation of the target that the evidence is about.
-    :param bad_reports: monotonic time of the latest bad report, by reporter.
+    :param bad_reports: monotonic time of the latest bad report, by reporting daemon.
     :param latency_s: smoothed latency in seconds, or ``None``.
-    :param succeeded_at: monotonic time when any daemon last saw a success.
-    :param requested_at: since when the other daemons are asked about the target.
+    :param succeeded_at: monotonic time of the latest known success at any daemon.
+    :param requested_at: monotonic time since when evidence is requested from others.
     """
 
     target_id: str
@@ -138,22 +143,22 @@
     requested_at: timedelta = timedelta()
 
     def get_tests(self, route: str) -> RouteTests:
-        """Return the tests of a route, made on first use."""
+        """Return the tests of a route, created on first use."""
         tests = self.routes.get(route)
         if tests is None:
             tests = self.routes[route] = create_tests(route)
         return tests
 
     def add_latency(self, latency_s: float) -> None:
-        """Smooth one latency in seconds into the typical one."""
+        """Add a sample to the smoothed latency."""
         if self.latency_s is None:
             self.latency_s = latency_s
         self.latency_s += LATENCY_WEIGHT * (latency_s - self.latency_s)
 
     def record_success(self, now: timedelta, local: bool) -> None:
-        """Take note that a request succeeded, so the target isn't hanging now.
+        """Record that a request succeeded, which shows that the target isn't hanging.
 
-        :param local: whether this daemon sent it.
+        :param local: whether this daemon sent the request.
         """
         self.succeeded_at = now
         tests = self.routes.get(STALL_ROUTE)
@@ -164,7 +169,7 @@
             tests.local[Symptom.HANGING].clear()
 
     def clear(self) -> None:
-        """Forget what speaks against the target."""
+        """Clear all tests and reports of the target."""
         self.path.clear()
         self.bad_reports.clear()
         for tests in self.routes.values():
@@ -174,9 +179,9 @@
 
 @attrs.define
 class RouteBaseline:
-    """What a service's targets are like on one route.
+    """Outcomes of all targets of a service on one route, for comparison.
 
-    :param reference: latencies of targets in good standing.
+    :param reference: latencies of the targets that are neither avoided nor warming up.
     :param recent_counts: recent outcomes of this daemon at all targets.
     """
 
@@ -186,12 +191,12 @@
     def estimate_healthy_rate(
         self, symptom: Symptom, target_counts: DecayedCounts
     ) -> float:
-        """Estimate how often a healthy target shows a symptom.
+        """Estimate the rate of a symptom at healthy targets.
 
-        Only the service's other targets count. Where they show the symptom too,
-        it tells nothing about this one.
+        The estimate is based on the service's other targets only: a symptom that they
+        show as well is no evidence against this target.
 
-        :param target_counts: recent outcomes at the target that is judged.
+        :param target_counts: recent outcomes of the evaluated target.
         """
         if symptom is Symptom.FAILING:
             bad = self.recent_counts.failed - target_counts.failed
@@ -212,10 +217,11 @@
     """Evidence on the targets of one service.
 
     :param service: its name.
-    :param limits: how its targets are judged.
+    :param limits: limits of the tests.
     :param targets: evidence by ``target_id``.
     :param baselines: by route.
-    :param unsent: targets with outcomes since the last digest, as keys.
+    :param unsent: ``target_id`` of targets with outcomes since the last digest, as
+        keys.
     """
 
     service: str
@@ -225,7 +231,7 @@
     unsent: dict[str, None] = attrs.field(factory=dict)
 
     def get_target(self, target_id: str, zone: str) -> TargetEvidence:
-        """Return the evidence on a target, made on first use."""
+        """Return the evidence on a target, created on first use."""
         found = self.targets.get(target_id)
         if found is None:
             found = TargetEvidence(target_id, self.service, zone)
@@ -233,7 +239,7 @@
         return found
 
     def update_limits(self, limits: TestLimits, now: timedelta) -> None:
-        """Judge by other limits from now on; slots are renumbered to fit them."""
+        """Apply changed limits and renumber the slots to match them."""
         if limits == self.limits:
             return
         self.limits = limits
@@ -248,7 +254,7 @@
                     test.slot = slot
 
     def get_baseline(self, route: str) -> RouteBaseline:
-        """Return what the service is like on a route, made on first use."""
+        """Return the baseline of a route, created on first use."""
         found = self.baselines.get(route)
         if found is None:
             found = self.baselines[route] = RouteBaseline()
@@ -262,9 +268,9 @@
         slow: bool | None,
         slot: int,
     ) -> None:
-        """Count one outcome of this daemon.
+        """Record one outcome of this daemon.
 
-        :param slow: whether it was slow; ``None`` if its latency was not judged.
+        :param slow: whether it was slow; ``None`` if its latency was not assessed.
         """
         tests = target.get_tests(route)
         baseline = self.get_baseline(route)
@@ -299,7 +305,7 @@
         tests.pooled[symptom].add(ratio, cap, slot, decay)
 
     def record_local_stall(self, target: TargetEvidence, slot: int) -> None:
-        """Add one more stall to this daemon's own test only."""
+        """Record a stall in this daemon's local test only."""
         tests = target.get_tests(STALL_ROUTE)
         ratio = likelihood_ratios(Symptom.HANGING, HEALTHY_HANGING_RATE).bad
         cap = SLOT_CAP[Symptom.HANGING]
@@ -314,7 +320,7 @@
         bad: int,
         slot: int,
     ) -> None:
-        """Add outcomes that another daemon reported to the pooled test."""
+        """Add outcomes reported by another daemon to the pooled test."""
         tests = target.get_tests(route)
         baseline = self.get_baseline(route)
         tests.recent_counts.decay_to_slot(slot, self.limits.count_decay)
--- a/src/wagtailstep/controllers/floor.py
+++ b/src/wagtailstep/controllers/floor.py
@@ -1,8 +1,8 @@
-"""Arithmetic of the floor: which targets may be out of service at once.
+"""Arithmetic of the floor: which targets may be out of service at the same time.
 
-Everything here is a pure function of its arguments, so that two daemons with the
-same arguments reach the same result. Sums are correctly rounded (``math.fsum``)
-and so don't depend on the order of the weights.
+All functions are pure, so that two daemons with the same arguments reach the same
+result. Sums are correctly rounded (``math.fsum``) and so don't depend on the order of
+the weights.
 """
 
 import math
@@ -10,10 +10,10 @@
 
 
 def sum_in_service(weights: Mapping[str, float], excluded: Collection[str]) -> float:
-    """Return the weight that remains without the targets in ``out``.
+    """Return the total weight of the targets that are not in ``excluded``.
 
-    :param weights: weight by ``target_id`` of all targets that take work.
-    :param out: targets to leave out; ones without a weight are ignored.
+    :param weights: weight by ``target_id`` of all serving targets.
+    :param excluded: targets to exclude; ones without a weight are ignored.
     """
     return math.fsum(weight for name, weight in weights.items() if name not in excluded)
 
@@ -23,11 +23,11 @@
 ) -> list[str]:
     """Choose the targets that may be avoided without going below the floor.
 
-    A target that would break the floor is skipped, and later ones are still
-    tried. Targets of no weight are always removable. If the weight is below the
-    floor before anything is removed, no target with weight is removable.
+    A target whose removal would break the floor is skipped, and later ones are still
+    tried. Targets of zero weight are always removable. If the total weight is below
+    the floor from the start, only targets of zero weight are removable.
 
-    :param weights: weight by ``target_id`` of all targets that take work.
+    :param weights: weight by ``target_id`` of all serving targets.
     :param worst_first: targets to avoid, the worst first.
     :param floor: weight that must remain.
     :return: the removable ones, in the given order.
@@ -45,16 +45,16 @@
 def select_returns(
     weights: Mapping[str, float], oldest_first: Sequence[str], floor: float
 ) -> list[str]:
-    """Choose the targets that must come back so that the floor holds.
+    """Choose the ejected targets that must return so that the floor holds.
 
-    The result is always a prefix of ``oldest_first``. Daemons that know
-    different weights thus return prefixes of one sequence, and the union of what
-    they leave out is what one of them leaves out.
+    The result is always a prefix of ``oldest_first``. Daemons that know different
+    weights thus choose prefixes of the same sequence, so the union of the targets
+    that they keep ejected equals what one of them keeps ejected.
 
-    :param weights: weight by ``target_id`` of all targets that take work.
-    :param oldest_first: targets that are out, in the order of the log.
+    :param weights: weight by ``target_id`` of all serving targets.
+    :param oldest_first: ejected targets, in the order of the log.
     :param floor: weight that must be in service.
-    :return: the shortest prefix that restores the floor, or all of them.
+    :return: the shortest prefix that restores the floor, or all targets.
     """
     for count in range(len(oldest_first) + 1):
         remaining = set(oldest_first[count:])
--- a/src/wagtailstep/controllers/health.py
+++ b/src/wagtailstep/controllers/health.py
@@ -1,4 +1,4 @@
-"""Standings of all targets, and the judgement that routing reads from them."""
+"""Track which targets this daemon avoids, and write their health for routing."""
 
 from datetime import timedelta
 
@@ -8,16 +8,18 @@
 from wagtailstep.models.fleet import TargetHealth
 
 CANDIDATE_LIFETIME_S = 10.0
+# Routing penalty per multiple of the threshold by which a suspicion score exceeds
+# PENALTY_FREE_FRACTION.
 PENALTY_PER_THRESHOLD = 8.0
-# Doubt below this share of the threshold costs a target no work: with less work
-# there would be less evidence, and the decision would come later.
+# Scores below this fraction of the threshold incur no penalty: less traffic would mean
+# less evidence and a later decision.
 PENALTY_FREE_FRACTION = 1.0
 
 
 class HealthTracker:
-    """Keep the standing of each target and write ``health`` to the blackboard.
+    """Keep the avoidance state of each target and write ``health``.
 
-    :param blackboard: ``health`` is written.
+    :param blackboard: ``health`` is written; outdated candidates are removed.
     """
 
     def __init__(self, blackboard: Blackboard) -> None:
@@ -25,20 +27,20 @@
         self.states: dict[str, AvoidanceState] = {}
 
     def get_state(self, target_id: str) -> AvoidanceState:
-        """Return the standing of a target, made on first use."""
+        """Return the avoidance state of a target, created on first use."""
         found = self.states.get(target_id)
         if found is None:
             found = self.states[target_id] = AvoidanceState()
         return found
 
     def remove_target(self, target_id: str) -> None:
-        """Drop what is known of a target that left."""
+        """Remove the state of a target that left."""
         self.states.pop(target_id, None)
         self.blackboard.health.pop(target_id, None)
         self.blackboard.ejection_candidates.pop(target_id, None)
 
     def expire_candidates(self, now: timedelta) -> None:
-        """Drop candidates that no new evidence was seen against."""
+        """Remove candidates without recent evidence."""
         oldest = now - timedelta(seconds=CANDIDATE_LIFETIME_S)
         candidates = self.blackboard.ejection_candidates
         for target_id in [t for t, c in candidates.items() if c.since < oldest]:
@@ -47,9 +49,9 @@
     def start_ramp(
         self, target: TargetEvidence, threshold: float, now: timedelta, phase: Phase
     ) -> None:
-        """Forget what speaks against a target and start to use it slowly.
+        """Clear the evidence on a target and start ramping up its traffic.
 
-        :param phase: whether it returns or has just started.
+        :param phase: ``RAMPING`` after a return, ``WARMING`` after a restart.
         """
         target.clear()
         self.blackboard.ejection_candidates.pop(target.target_id, None)
@@ -61,7 +63,7 @@
     def write_health(
         self, target: TargetEvidence, threshold: float, now: timedelta
     ) -> None:
-        """Write the judgement of a target to the blackboard."""
+        """Write the health of a target to the blackboard."""
         state = self.get_state(target.target_id)
         suspicion = compute_suspicion_score(target) / threshold
         latency = target.latency_s
@@ -75,7 +77,7 @@
 
 
 def compute_suspicion_score(target: TargetEvidence) -> float:
-    """Return the largest sum of this daemon's own tests of a target, in nats."""
+    """Return the highest score of the local tests of a target, in nats."""
     return max(
         (
             test.value(SLOT_CAP[symptom])
--- a/src/wagtailstep/controllers/path_watch.py
+++ b/src/wagtailstep/controllers/path_watch.py
@@ -1,7 +1,7 @@
-"""This daemon's own paths to the gates of targets.
+"""Watch this daemon's paths to the gates of targets.
 
-A path that failed is avoided for a while, longer each time, until a request gets
-through. What speaks against the backend server itself is its gate's affair.
+A path that failed is avoided for a time that doubles with each further failure until a
+request succeeds. Faults of the backend server itself are detected by its gate.
 """
 
 import random
@@ -19,20 +19,21 @@
 from wagtailstep.models.verdict import Verdict
 from wagtailstep.utils.clock import Clock
 
-# A lost packet delays a connection by about a retransmission; a cut lasts seconds.
+# A lost packet delays a connection by about one retransmission timeout; a network
+# partition lasts seconds.
 INITIAL_AVOIDANCE = timedelta(seconds=1)
 MAX_AVOIDANCE = timedelta(seconds=4)
-# Weight of the newest latency in the usual one.
+# Weight of the newest sample in the smoothed latency.
 LATENCY_WEIGHT = 0.1
 
 
 @attrs.define
 class PathState:
-    """The path to one target.
+    """State of the path to one target.
 
-    :param avoided_until: monotonic time until which it is avoided.
-    :param avoidance: how long it was avoided last.
-    :param latency: typical time to the head of an answer.
+    :param avoided_until: monotonic time until which the path is avoided.
+    :param avoidance: duration of the last avoidance; zero after a success.
+    :param latency: smoothed time until the head of a response.
     """
 
     avoided_until: timedelta | None = None
@@ -40,7 +41,7 @@
     latency: timedelta | None = None
 
     def record_failure(self, now: timedelta) -> None:
-        """Avoid the path, twice as long as the last time."""
+        """Avoid the path, twice as long as last time, up to a limit."""
         if self.avoided_until is not None and now < self.avoided_until:
             return
         doubled = max(INITIAL_AVOIDANCE, 2 * self.avoidance)
@@ -48,14 +49,14 @@
         self.avoided_until = now + self.avoidance
 
     def record_latency(self, latency: timedelta) -> None:
-        """Take the latency of an answer."""
+        """Add the latency of a response to the smoothed latency."""
         if self.latency is None:
             self.latency = latency
         self.latency += LATENCY_WEIGHT * (latency - self.latency)
 
 
 class PathWatch:
-    """Write ``health`` of targets, as far as this daemon's path to them decides it.
+    """Write ``health`` of targets according to this daemon's paths to them.
 
     :param blackboard: ``health`` is written.
     """
@@ -73,7 +74,7 @@
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
-        """Ignore an event that paths do not depend on."""
+        """Ignore events that do not affect paths."""
         return []
 
     @handle.register
@@ -112,7 +113,7 @@
         return []
 
     def record_failure(self, target_id: str) -> list[Any]:
-        """Avoid the path to a target."""
+        """Record a failure of the path to a target and avoid it."""
         path = self.paths.setdefault(target_id, PathState())
         was_avoided = path.avoided_until is not None
         path.record_failure(self.clock.monotonic())
@@ -124,7 +125,7 @@
         return [RecordEvent("path-avoided", fields)]
 
     def write_health(self, target_id: str, path: PathState) -> None:
-        """Write the judgement of a path to the blackboard."""
+        """Write the health of a target to the blackboard."""
         self.blackboard.health[target_id] = TargetHealth(
             latency=path.latency, steer_away=path.avoided_until is not None
         )
--- a/src/wagtailstep/controllers/sequential_test.py
+++ b/src/wagtailstep/controllers/sequential_test.py
@@ -1,9 +1,10 @@
-"""A sequential test of outcomes, and the rates that it compares with.
+"""Sequential test of outcomes, and the decayed counts that its rates come from.
 
-The test is a cumulative sum of log-likelihood ratios (Page's test) of "this
-target is sick" against "it is like the service's other targets". Crossing
-``ln(1 / risk)`` decides. Outcomes within one short slot of time often share one
-harmless cause, such as a pause of the process, so what one slot can add is capped.
+The test is a cumulative sum (CUSUM, Page's test) of the log-likelihood ratios of "this
+target is unhealthy" against "it is like the service's other targets". It decides when
+the sum, the score, reaches ``ln(1 / risk)``. Outcomes within one short time slot often
+share one harmless cause, such as a pause of the process, so the contribution of a slot
+is capped.
 """
 
 import functools
@@ -15,6 +16,7 @@
 from wagtailstep.models.table import ServiceRow
 
 SLOTS_PER_WINDOW = 20
+# Time constants of the decay of scores and counts, in detection windows.
 SCORE_DECAY_WINDOWS = 3
 COUNT_DECAY_WINDOWS = 1
 MIN_WINDOW_MS = 100
@@ -23,12 +25,12 @@
 
 @attrs.frozen
 class TestLimits:
-    """How a service wants its targets judged, in the units of the test.
+    """Parameters of the tests of a service's targets.
 
-    :param threshold: sum of log-likelihood ratios that decides.
+    :param threshold: score in nats at which a test decides.
     :param slot_s: length of one slot in seconds.
-    :param score_decay: factor on the sum for each slot that passes.
-    :param count_decay: factor on the rates for each slot that passes.
+    :param score_decay: factor applied to scores for each slot that passes.
+    :param count_decay: factor applied to decayed counts for each slot that passes.
     """
 
     threshold: float
@@ -39,7 +41,7 @@
     @classmethod
     @functools.lru_cache(maxsize=1_024)
     def from_row(cls, row: ServiceRow) -> "TestLimits":
-        """Compute the limits from the two settings of a service's row."""
+        """Compute the limits from the two detection settings of a service's row."""
         window_s = max(row.detection_window_ms, MIN_WINDOW_MS) / 1_000
         risk = min(max(row.false_ejection_risk, MIN_RISK), 0.5)
         return cls(
@@ -50,16 +52,16 @@
         )
 
     def slot_at(self, now: timedelta) -> int:
-        """Return the number of the slot that a monotonic time falls into."""
+        """Return the number of the slot containing a monotonic time."""
         return int(now.total_seconds() / self.slot_s)
 
 
 @attrs.define
 class SequentialTest:
-    """The cumulative sum for one target, route and symptom.
+    """Cumulative sum of log-likelihood ratios for one target, route and symptom.
 
-    :param score: the sum up to the current slot, at least 0.
-    :param slot_gain: what the current slot adds, before the cap.
+    :param score: the sum before the current slot, at least 0.
+    :param slot_gain: sum of the current slot, before the cap.
     :param slot: number of the current slot.
     """
 
@@ -68,12 +70,12 @@
     slot: int = 0
 
     def add(self, ratio: float, cap: float, slot: int, decay: float) -> float:
-        """Add log-likelihood ratios and return the sum.
+        """Add log-likelihood ratios and return the score.
 
         :param ratio: the ratio of one outcome, or the sum of several.
-        :param cap: most that one slot may add or take away.
-        :param slot: number of the slot now.
-        :param decay: factor for each slot that passes.
+        :param cap: limit on what one slot may add or subtract.
+        :param slot: number of the current slot.
+        :param decay: factor applied to the score for each slot that passes.
         """
         if slot > self.slot:
             self.score = self.value(cap) * decay ** (slot - self.slot)
@@ -83,11 +85,11 @@
         return self.value(cap)
 
     def value(self, cap: float) -> float:
-        """Return the sum with the current slot counted in."""
+        """Return the score including the current slot."""
         return max(0.0, self.score + max(-cap, min(cap, self.slot_gain)))
 
     def clear(self) -> None:
-        """Forget all evidence."""
+        """Discard all evidence."""
         self.score = 0.0
         self.slot_gain = 0.0
 
@@ -96,11 +98,11 @@
 class DecayedCounts:
     """Decayed counts of outcomes.
 
-    :param count: outcomes that speak for or against the backend server.
+    :param count: outcomes that say something about the backend server.
     :param failed: those that failed.
-    :param timed: outcomes whose latency was judged.
+    :param timed: outcomes whose latency was assessed.
     :param slow: those that were slow.
-    :param slot: number of the slot of the last change.
+    :param slot: number of the slot up to which the counts are decayed.
     """
 
     count: float = 0.0
@@ -110,7 +112,7 @@
     slot: int = 0
 
     def decay_to_slot(self, slot: int, decay: float) -> None:
-        """Let the counts decay up to a slot."""
+        """Decay the counts up to a slot."""
         if slot <= self.slot:
             return
         factor = decay ** (slot - self.slot)
@@ -145,8 +147,9 @@
     ) -> "LikelihoodRatios":
         """Compute both ratios.
 
-        :param healthy_rate: probability of a bad outcome of a healthy target.
-        :param unhealthy_rate: the same of a sick target; larger than ``healthy_rate``.
+        :param healthy_rate: probability of a bad outcome at a healthy target.
+        :param unhealthy_rate: the same at an unhealthy target; larger than
+            ``healthy_rate``.
         """
         return cls(
             math.log(unhealthy_rate / healthy_rate),
--- a/src/wagtailstep/controllers/stall_detector.py
+++ b/src/wagtailstep/controllers/stall_detector.py
@@ -1,8 +1,8 @@
-"""Noticing targets that hold requests without ending any.
+"""Detect targets that have requests in flight but complete none.
 
-An outcome is known only when a request ends, and a request at a hanging backend
-server ends only at its deadline. While one is in flight and none ends, the oldest
-one has waited at least since the latest end, which is evidence of its own.
+The outcome of a request is known only when it ends, and at a hanging backend server
+that is at its deadline. While requests are in flight and none completes, the oldest
+has waited at least since the latest completion, which is evidence of a hang.
 """
 
 from collections.abc import Mapping
@@ -14,16 +14,17 @@
 from wagtailstep.models.blackboard import InFlight
 from wagtailstep.models.evidence import STALL_ROUTE
 
+# The limit is this multiple of the slow latency of the slowest route, plus the margin.
 STALL_FACTOR = 2.0
 STALL_MARGIN_S = 0.05
 MAX_DOUBLINGS = 8
 
 
 def compute_stall_limit(service: ServiceEvidence, in_use: set[str]) -> timedelta | None:
-    """Return how long a target may end no request, or ``None`` if unknown.
+    """Return how long a target may complete no request, or ``None`` if unknown.
 
-    It follows the slowest route. While a route without known latencies is in use,
-    nothing can be told.
+    The limit depends on the slowest route. It is unknown while a route without known
+    latencies is in use.
 
     :param in_use: routes with requests in flight.
     """
@@ -40,10 +41,11 @@
 
 @attrs.define
 class TargetWait:
-    """How long one target has ended no request.
+    """Time for which one target with requests in flight has completed none.
 
-    :param last_completion_at: monotonic time of the latest end.
-    :param stalls_reported: times that this was found too long.
+    :param last_completion_at: monotonic time of the latest completion, or when the
+        target was first watched.
+    :param stalls_reported: number of stalls reported since then.
     """
 
     last_completion_at: timedelta
@@ -52,20 +54,20 @@
 
 @attrs.define
 class StallDetector:
-    """Targets with requests in flight.
+    """Detector of stalls at targets with requests in flight.
 
-    :param waits: by ``target_id``.
+    :param waits: current waits by ``target_id``.
     """
 
     waits: dict[str, TargetWait] = attrs.field(factory=dict)
 
     def record_completion(self, target_id: str, now: timedelta) -> None:
-        """Take note that a request at a target has ended."""
+        """Record that a request at a target has completed."""
         if target_id in self.waits:
             self.waits[target_id] = TargetWait(now)
 
     def update_watched(self, in_flight: Mapping[str, int], now: timedelta) -> None:
-        """Begin to watch targets with requests in flight, and drop the others."""
+        """Watch exactly the targets with requests in flight."""
         busy = {target_id for target_id, count in in_flight.items() if count > 0}
         for target_id in [t for t in self.waits if t not in busy]:
             del self.waits[target_id]
@@ -73,10 +75,10 @@
             self.waits.setdefault(target_id, TargetWait(now))
 
     def check_stalled(self, target_id: str, limit: timedelta, now: timedelta) -> bool:
-        """Tell whether a target has ended nothing for too long.
+        """Return whether a target has newly exceeded its limit without a completion.
 
-        That is told once when ``limit`` has passed, and again whenever the wait
-        has doubled.
+        A stall is reported once ``limit`` has passed, and again whenever the wait has
+        doubled.
         """
         wait = self.waits[target_id]
         doublings = min(wait.stalls_reported, MAX_DOUBLINGS)
@@ -91,10 +93,10 @@
         in_flight: InFlight,
         now: timedelta,
     ) -> list[tuple[TargetEvidence, bool]]:
-        """Return the targets that are stalled now, and whether not for the first time.
+        """Return newly stalled targets, each with whether its stall is a repeated one.
 
-        :param services: evidence by service; targets without any are not judged.
-        :param in_flight: requests that have not ended.
+        :param services: evidence by service; targets without evidence are skipped.
+        :param in_flight: requests in flight.
         """
         self.update_watched(in_flight.by_target, now)
         found: list[tuple[TargetEvidence, bool]] = []
--- a/src/wagtailstep/controllers/target_judge.py
+++ b/src/wagtailstep/controllers/target_judge.py
@@ -1,9 +1,10 @@
-"""Judgement of a backend server by the gate beside it.
+"""Assess a backend server at the gate beside it.
 
-Every request to a backend server passes its gate, so one judge sees all its
-outcomes and needs no agreement. The log odds that the backend server is failing
-rise with each failure and fall with each whole answer and, after a quiet time, with
-time. The standing that follows travels with the target to all entries.
+Every request to a backend server passes its gate, so the gate sees all outcomes and
+needs no agreement with other daemons. The log odds that the backend server is failing
+rise with each failure, fall with each complete response, and decay over time once no
+failure has occurred for a while. The resulting standing is sent to all entries together
+with the target.
 """
 
 import random
@@ -27,49 +28,51 @@
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.utils.clock import Clock
 
-# Log odds in nats, as worked out in docs/design/platform.md. A server that has shown
-# nothing is failing with a probability of 5 %.
+# Log odds in nats, as derived in docs/design/platform.md. A server without any evidence
+# is failing with a probability of 5 %.
 PRIOR_LOG_ODDS = -3.0
 # Failing is more likely than not.
 DOUBTED_ABOVE = 0.0
 # Failing with a probability of 95 %.
 FAILING_ABOVE = 3.0
-# Keeps the way back from a long failure as short as from a brief one.
+# Makes recovery after a long failure as fast as after a short one.
 MAX_LOG_ODDS = 6.0
 EVIDENCE_NATS = {
-    # ln(0.5 / 0.012): half of the work of a failing server fails, 1.2 % of a sound one.
+    # ln(0.5 / 0.012): 50 % of work fails at a failing server, 1.2 % at a healthy one.
     WorkResult.FAILED: 3.7,
     WorkResult.BROKEN: 3.7,
     WorkResult.LATE: 3.7,
     WorkResult.UNREACHABLE: 7.0,
-    # Says that it is full, which is weak evidence, since its gate counts its slots.
+    # The server reports that it is full: weak evidence, as its gate counts its slots.
     WorkResult.TURNED_AWAY: 0.5,
-    # ln(0.5 / 0.988), a little more, so that three good answers undo one bad one.
+    # ln(0.5 / 0.988) = -0.7, increased so that three successes offset one failure.
     WorkResult.DONE: -1.2,
 }
-# Suspicion stays this long after a failure and then fades by as many nats a second: a
-# server that gets no work is tried again within 4 s, as faults mostly last seconds.
+# Log odds do not decay for this time after a failure, and then by DECAY_PER_S nats per
+# second: an idle server is tried again within 4 s, as faults mostly last seconds.
 DECAY_DELAY = timedelta(seconds=1.5)
 DECAY_PER_S = 1.5
-# Work that takes this many times as long as usual, and this long, is held up. Work of
-# sound servers has a tail of about five times the usual.
+# Work is overdue once it takes this many times the typical duration of its route and at
+# least this long. Healthy servers have a tail of about five times the typical duration.
 OVERDUE_FACTOR = 5.0
 MIN_OVERDUE_TIME = timedelta(milliseconds=600)
-# Work that is late after less than this many times the usual had too little time.
+# Late work that had less time than this many typical durations does not count, since
+# its deadline was too short.
 SHORT_DEADLINE_FACTOR = 3.0
-# Weight of the newest time in the usual one.
+# Weight of the newest sample in the typical duration.
 DURATION_WEIGHT = 0.1
-# A request fails as soon as a call that it needs has failed.
+# A request fails soon after a call that it depends on has failed: within this time the
+# failure is attributed to the call.
 FAILED_CALL_WINDOW = timedelta(milliseconds=200)
 MAX_FAILED_CALLS = 256
 
 
 @attrs.define
 class RunningWork:
-    """Work that has not been answered yet.
+    """Work that the backend server has not completed yet.
 
     :param started_at: monotonic time when it was sent.
-    :param counted_overdue: whether it was counted as held up.
+    :param counted_overdue: whether it was recorded as overdue.
     """
 
     target_id: str
@@ -80,11 +83,11 @@
 
 @attrs.define
 class Suspicion:
-    """What speaks against one backend server.
+    """Suspicion that one backend server is failing.
 
     :param log_odds: log odds that it is failing, in nats.
     :param failed_at: monotonic time of the last failure.
-    :param updated_at: monotonic time when ``log_odds`` was right.
+    :param updated_at: monotonic time up to which ``log_odds`` is decayed.
     """
 
     log_odds: float = PRIOR_LOG_ODDS
@@ -92,7 +95,7 @@
     updated_at: timedelta = timedelta()
 
     def decay(self, now: timedelta) -> None:
-        """Let suspicion fade after a quiet time."""
+        """Decay the log odds if the last failure is long enough ago."""
         since = max(self.updated_at, self.failed_at + DECAY_DELAY)
         if now > since:
             faded = (now - since).total_seconds() * DECAY_PER_S
@@ -100,7 +103,7 @@
         self.updated_at = now
 
     def record_result(self, result: WorkResult, now: timedelta) -> None:
-        """Take one outcome."""
+        """Update the log odds with one outcome."""
         self.decay(now)
         evidence = EVIDENCE_NATS[result]
         if evidence > 0:
@@ -109,7 +112,7 @@
 
     @property
     def standing(self) -> TargetStanding:
-        """Return the standing that the odds amount to."""
+        """Return the standing that corresponds to the log odds."""
         if self.log_odds > FAILING_ABOVE:
             return TargetStanding.FAILING
         if self.log_odds > DOUBTED_ABOVE:
@@ -118,7 +121,7 @@
 
 
 class TargetJudge:
-    """Write the standing of the backend servers beside this daemon.
+    """Controller that writes the standing of the local backend servers.
 
     :param blackboard: ``standing`` of local targets is written.
     """
@@ -139,7 +142,7 @@
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
-        """Ignore an event that the judgement does not depend on."""
+        """Ignore events that do not affect the standing."""
         return []
 
     @handle.register
@@ -184,9 +187,10 @@
         return effects
 
     def had_short_deadline(self, event: WorkEnded) -> bool:
-        """Tell whether work that was late had too little time to be judged by.
+        """Return whether late work had too short a deadline to count as a failure.
 
-        Where no work of a route was ever done nothing tells how long it takes.
+        This is assumed for a route without completed work, whose typical duration is
+        unknown.
         """
         typical_s = self.typical_s.get(event.route)
         if typical_s is None:
@@ -194,7 +198,7 @@
         return event.took < timedelta(seconds=typical_s * SHORT_DEADLINE_FACTOR)
 
     def is_explained_by_failed_call(self) -> bool:
-        """Tell whether a failure follows from that of a call that was needed for it."""
+        """Return whether a failed call explains a failure; consume that call."""
         oldest = self.clock.monotonic() - FAILED_CALL_WINDOW
         while self.failed_calls and self.failed_calls[0] < oldest:
             self.failed_calls.popleft()
@@ -204,7 +208,7 @@
         return True
 
     def record_duration(self, event: WorkEnded) -> None:
-        """Follow the usual time of a route."""
+        """Add a sample to the typical duration of a route."""
         seconds = event.took.total_seconds()
         typical_s = self.typical_s.get(event.route, seconds)
         self.typical_s[event.route] = typical_s + DURATION_WEIGHT * (
@@ -212,7 +216,7 @@
         )
 
     def record_overdue_work(self) -> list[Any]:
-        """Count work that should have been answered long ago, once each."""
+        """Record overdue work as late, once for each piece of work."""
         effects: list[Any] = []
         now = self.clock.monotonic()
         for running in self.running.values():
@@ -226,7 +230,7 @@
         return effects
 
     def record_result(self, target_id: str, result: WorkResult) -> list[Any]:
-        """Take one outcome of a backend server."""
+        """Record one outcome of a local backend server."""
         if target_id not in self.blackboard.local_targets:
             return []
         suspicion = self.suspicions.setdefault(target_id, Suspicion())
@@ -234,7 +238,7 @@
         return self.write_standing(target_id, suspicion)
 
     def write_standing(self, target_id: str, suspicion: Suspicion) -> list[Any]:
-        """Put a changed standing on the blackboard."""
+        """Write the standing to the blackboard if it changed."""
         target = self.blackboard.targets[target_id]
         standing = suspicion.standing
         if standing is TargetStanding.GOOD and target.standing < TargetStanding.DOUBTED:
