--- a/src/wagtailstep/controllers/evidence_sharing.py
+++ b/src/wagtailstep/controllers/evidence_sharing.py
@@ -343,8 +343,8 @@
 
 def get_max_score(tests: dict[Symptom, SequentialTest]) -> float:
     """Return the highest score of some tests in nats."""
-    largest = 0.0
+    max_score = 0.0
     for symptom, test in tests.items():
         if test.score or test.slot_gain > 0:
-            largest = max(largest, test.value(SLOT_CAP[symptom]))
-    return largest
+            max_score = max(max_score, test.value(SLOT_CAP[symptom]))
+    return max_score
--- a/src/wagtailstep/controllers/target_judge.py
+++ b/src/wagtailstep/controllers/target_judge.py
@@ -98,8 +98,8 @@
         """Decay the log odds if the last failure is long enough ago."""
         since = max(self.updated_at, self.failed_at + DECAY_DELAY)
         if now > since:
-            faded = (now - since).total_seconds() * DECAY_PER_S
-            self.log_odds = max(PRIOR_LOG_ODDS, self.log_odds - faded)
+            decayed = (now - since).total_seconds() * DECAY_PER_S
+            self.log_odds = max(PRIOR_LOG_ODDS, self.log_odds - decayed)
         self.updated_at = now
 
     def record_result(self, result: WorkResult, now: timedelta) -> None:
@@ -245,8 +245,8 @@
             return []
         if standing is target.standing:
             return []
-        changed = attrs.evolve(target, standing=standing)
-        self.blackboard.targets[target_id] = changed
+        updated = attrs.evolve(target, standing=standing)
+        self.blackboard.targets[target_id] = updated
         fields = {
             "target": target_id,
             "standing": standing.name.lower(),
