--- a/src/wagtailstep/controllers/evidence_state.py
+++ b/src/wagtailstep/controllers/evidence_state.py
@@ -1,4 +1,4 @@
-"""What one daemon knows about targets from outcomes, and how it is counted."""
+"""Evidence on targets that one daemon has, and how outcomes are counted."""
 
 import functools
 from datetime import timedelta
@@ -7,59 +7,66 @@
 
 from wagtailstep.controllers.latency_reference import LatencyReference
 from wagtailstep.controllers.sequential_test import (
-    Hypotheses,
-    Rates,
+    DecayedCounts,
+    LikelihoodRatios,
     SequentialTest,
     TestLimits,
 )
 from wagtailstep.models.evidence import STALL_ROUTE, Symptom
 
-# Most that one slot of time may add to a sum, in nats.
+# Limit on what one time slot may add to a score or take from it, in nats.
 SLOT_CAP = {
     Symptom.FAILING: 8.0,
     Symptom.SLOW: 2.0,
     Symptom.HANGING: 8.0,
     Symptom.UNREACHABLE: 7.0,
 }
-HEALTHY_FAILED = 0.01
-HEALTHY_SLOW = 0.1
-HEALTHY_HANGING = 0.1
-SICK_FAILED = 0.5
-SICK_SLOW = 0.45
-SICK_HANGING = 0.9
-SICK_UNREACHABLE = 0.6
-CONNECTION_SHARE = 0.5
-MOST_HEALTHY = 0.65
-MOST_SICK = 0.97
+# Expected rates of symptoms among the outcomes of healthy and unhealthy targets.
+HEALTHY_FAILURE_RATE = 0.01
+HEALTHY_SLOW_RATE = 0.1
+HEALTHY_HANGING_RATE = 0.1
+UNHEALTHY_FAILURE_RATE = 0.5
+UNHEALTHY_SLOW_RATE = 0.45
+UNHEALTHY_HANGING_RATE = 0.9
+UNHEALTHY_UNREACHABLE_RATE = 0.6
+# Weight of an unresponsive connection as evidence against the path.
+CONNECTION_FAILURE_WEIGHT = 0.5
+MAX_HEALTHY_RATE = 0.65
+MAX_UNHEALTHY_RATE = 0.97
+# Number of assumed healthy outcomes added to the measured ones.
 PRIOR_SAMPLES = 20.0
+# Weight of the newest sample in the smoothed latency.
 LATENCY_WEIGHT = 0.1
 
 
-SICK = {
-    Symptom.FAILING: SICK_FAILED,
-    Symptom.SLOW: SICK_SLOW,
-    Symptom.HANGING: SICK_HANGING,
-    Symptom.UNREACHABLE: SICK_UNREACHABLE,
+UNHEALTHY_RATES = {
+    Symptom.FAILING: UNHEALTHY_FAILURE_RATE,
+    Symptom.SLOW: UNHEALTHY_SLOW_RATE,
+    Symptom.HANGING: UNHEALTHY_HANGING_RATE,
+    Symptom.UNREACHABLE: UNHEALTHY_UNREACHABLE_RATE,
 }
-HEALTHY = {
-    Symptom.FAILING: HEALTHY_FAILED,
-    Symptom.SLOW: HEALTHY_SLOW,
-    Symptom.HANGING: HEALTHY_HANGING,
-    Symptom.UNREACHABLE: HEALTHY_FAILED,
+HEALTHY_RATES = {
+    Symptom.FAILING: HEALTHY_FAILURE_RATE,
+    Symptom.SLOW: HEALTHY_SLOW_RATE,
+    Symptom.HANGING: HEALTHY_HANGING_RATE,
+    Symptom.UNREACHABLE: HEALTHY_FAILURE_RATE,
 }
-# How much worse than the others a target has to be to count as worse at all.
-MARGIN = 1.3
-LEAST_GAP = 0.3
+# Factor by which a target must be worse than the others to count as worse.
+HEALTHY_RATE_MARGIN = 1.3
+# Minimum difference between the rates of unhealthy and healthy targets.
+MIN_RATE_GAP = 0.3
 
 
 @functools.lru_cache(maxsize=512)
-def hypotheses_for(symptom: Symptom, healthy: float) -> Hypotheses:
-    """Return the ratios for a symptom, given how often healthy targets show it."""
-    sick = min(max(SICK[symptom], healthy + LEAST_GAP), MOST_SICK)
-    return Hypotheses.between(healthy, sick)
+def likelihood_ratios(symptom: Symptom, healthy_rate: float) -> LikelihoodRatios:
+    """Return the ratios for a symptom, given its rate at healthy targets."""
+    unhealthy_rate = min(
+        max(UNHEALTHY_RATES[symptom], healthy_rate + MIN_RATE_GAP), MAX_UNHEALTHY_RATE
+    )
+    return LikelihoodRatios.from_rates(healthy_rate, unhealthy_rate)
 
 
-def symptoms_of(route: str) -> tuple[Symptom, ...]:
+def get_tested_symptoms(route: str) -> tuple[Symptom, ...]:
     """Return the symptoms that are tested on a route."""
     if route == STALL_ROUTE:
         return (Symptom.HANGING,)
@@ -67,8 +74,8 @@
 
 
 @attrs.define
-class Counts:
-    """Outcomes since the last digest."""
+class OutcomeCounts:
+    """Numbers of outcomes since the last digest."""
 
     count: int = 0
     failed: int = 0
@@ -76,7 +83,7 @@
     slow: int = 0
 
     def add(self, failed: bool, slow: bool | None) -> None:
-        """Add one outcome; ``slow`` is ``None`` if its latency was not judged."""
+        """Add one outcome; ``slow`` is ``None`` if its latency was not assessed."""
         self.count += 1
         self.failed += failed
         if slow is not None:
@@ -88,23 +95,23 @@
 class RouteTests:
     """Tests of one target on one route.
 
-    :param own: tests by symptom, over the outcomes of this daemon.
-    :param pooled: the same over the outcomes of all daemons that report here.
-    :param rates: recent outcomes of this daemon.
+    :param local: tests by symptom over the outcomes of this daemon.
+    :param pooled: the same over the outcomes of this daemon and all that report to it.
+    :param recent_counts: recent outcomes of this daemon.
     :param unsent: outcomes of this daemon since its last digest.
     """
 
-    own: dict[Symptom, SequentialTest]
+    local: dict[Symptom, SequentialTest]
     pooled: dict[Symptom, SequentialTest]
-    rates: Rates = attrs.field(factory=Rates)
-    unsent: Counts = attrs.field(factory=Counts)
+    recent_counts: DecayedCounts = attrs.field(factory=DecayedCounts)
+    unsent: OutcomeCounts = attrs.field(factory=OutcomeCounts)
 
 
-def make_tests(route: str) -> RouteTests:
-    """Return tests of a route without evidence."""
+def create_tests(route: str) -> RouteTests:
+    """Create the tests of a route, without evidence."""
     return RouteTests(
-        own={symptom: SequentialTest() for symptom in symptoms_of(route)},
-        pooled={symptom: SequentialTest() for symptom in symptoms_of(route)},
+        local={symptom: SequentialTest() for symptom in get_tested_symptoms(route)},
+        pooled={symptom: SequentialTest() for symptom in get_tested_symptoms(route)},
     )
 
 
@@ -118,10 +125,10 @@
     :param routes: tests by route.
     :param path: test of the path from this daemon to the target.
     :param incarnation: incarnation of the target that the evidence is about.
-    :param complaints: monotonic time of the latest bad report, by reporter.
+    :param bad_reports: monotonic time of the latest bad report, by reporting daemon.
     :param latency_s: smoothed latency in seconds, or ``None``.
-    :param succeeded_at: monotonic time when any daemon last saw a success.
-    :param asked_at: since when the other daemons are asked about the target.
+    :param succeeded_at: monotonic time of the latest known success at any daemon.
+    :param requested_at: monotonic time since when evidence is requested from others.
     """
 
     target_id: str
@@ -130,74 +137,79 @@
     routes: dict[str, RouteTests] = attrs.field(factory=dict)
     path: SequentialTest = attrs.field(factory=SequentialTest)
     incarnation: int = 0
-    complaints: dict[str, timedelta] = attrs.field(factory=dict)
+    bad_reports: dict[str, timedelta] = attrs.field(factory=dict)
     latency_s: float | None = None
     succeeded_at: timedelta = timedelta()
-    asked_at: timedelta = timedelta()
+    requested_at: timedelta = timedelta()
 
-    def tests_of(self, route: str) -> RouteTests:
-        """Return the tests of a route, made on first use."""
+    def get_tests(self, route: str) -> RouteTests:
+        """Return the tests of a route, created on first use."""
         tests = self.routes.get(route)
         if tests is None:
-            tests = self.routes[route] = make_tests(route)
+            tests = self.routes[route] = create_tests(route)
         return tests
 
     def add_latency(self, latency_s: float) -> None:
-        """Smooth one latency in seconds into the typical one."""
+        """Add a sample to the smoothed latency."""
         if self.latency_s is None:
             self.latency_s = latency_s
         self.latency_s += LATENCY_WEIGHT * (latency_s - self.latency_s)
 
-    def note_success(self, now: timedelta, own: bool) -> None:
-        """Take note that a request succeeded, so the target isn't hanging now.
+    def record_success(self, now: timedelta, local: bool) -> None:
+        """Record that a request succeeded, which shows that the target isn't hanging.
 
-        :param own: whether this daemon sent it.
+        :param local: whether this daemon sent the request.
         """
         self.succeeded_at = now
         tests = self.routes.get(STALL_ROUTE)
         if tests is None:
             return
         tests.pooled[Symptom.HANGING].clear()
-        if own:
-            tests.own[Symptom.HANGING].clear()
+        if local:
+            tests.local[Symptom.HANGING].clear()
 
     def clear(self) -> None:
-        """Forget what speaks against the target."""
+        """Clear all tests and reports of the target."""
         self.path.clear()
-        self.complaints.clear()
+        self.bad_reports.clear()
         for tests in self.routes.values():
-            for test in (*tests.own.values(), *tests.pooled.values()):
+            for test in (*tests.local.values(), *tests.pooled.values()):
                 test.clear()
 
 
 @attrs.define
-class RouteComparison:
-    """What a service's targets are like on one route.
+class RouteBaseline:
+    """Outcomes of all targets of a service on one route, for comparison.
 
-    :param reference: latencies of targets in good standing.
-    :param rates: recent outcomes of this daemon at all targets.
+    :param reference: latencies of the targets that are neither avoided nor warming up.
+    :param recent_counts: recent outcomes of this daemon at all targets.
     """
 
     reference: LatencyReference = attrs.field(factory=LatencyReference)
-    rates: Rates = attrs.field(factory=Rates)
+    recent_counts: DecayedCounts = attrs.field(factory=DecayedCounts)
 
-    def healthy_share(self, symptom: Symptom, target: Rates) -> float:
-        """Estimate how often a healthy target shows a symptom.
+    def estimate_healthy_rate(
+        self, symptom: Symptom, target_counts: DecayedCounts
+    ) -> float:
+        """Estimate the rate of a symptom at healthy targets.
 
-        Only the service's other targets count. Where they show the symptom too,
-        it tells nothing about this one.
+        The estimate is based on the service's other targets only: a symptom that they
+        show as well is no evidence against this target.
 
-        :param target: recent outcomes at the target that is judged.
+        :param target_counts: recent outcomes of the evaluated target.
         """
         if symptom is Symptom.FAILING:
-            bad = self.rates.failed - target.failed
-            count = self.rates.count - target.count
+            bad = self.recent_counts.failed - target_counts.failed
+            count = self.recent_counts.count - target_counts.count
         else:
-            bad, count = self.rates.slow - target.slow, self.rates.timed - target.timed
-        least = HEALTHY[symptom]
-        bad = max(0.0, bad) + least / MARGIN * PRIOR_SAMPLES
-        share = MARGIN * bad / (max(0.0, count) + PRIOR_SAMPLES)
-        return round(min(max(share, least), MOST_HEALTHY), 2)
+            bad, count = (
+                self.recent_counts.slow - target_counts.slow,
+                self.recent_counts.timed - target_counts.timed,
+            )
+        min_rate = HEALTHY_RATES[symptom]
+        bad = max(0.0, bad) + min_rate / HEALTHY_RATE_MARGIN * PRIOR_SAMPLES
+        healthy_rate = HEALTHY_RATE_MARGIN * bad / (max(0.0, count) + PRIOR_SAMPLES)
+        return round(min(max(healthy_rate, min_rate), MAX_HEALTHY_RATE), 2)
 
 
 @attrs.define
@@ -205,49 +217,50 @@
     """Evidence on the targets of one service.
 
     :param service: its name.
-    :param limits: how its targets are judged.
+    :param limits: limits of the tests.
     :param targets: evidence by ``target_id``.
-    :param comparisons: by route.
-    :param unsent: targets with outcomes since the last digest, as keys.
+    :param baselines: by route.
+    :param unsent: ``target_id`` of targets with outcomes since the last digest, as
+        keys.
     """
 
     service: str
     limits: TestLimits
     targets: dict[str, TargetEvidence] = attrs.field(factory=dict)
-    comparisons: dict[str, RouteComparison] = attrs.field(factory=dict)
+    baselines: dict[str, RouteBaseline] = attrs.field(factory=dict)
     unsent: dict[str, None] = attrs.field(factory=dict)
 
-    def target(self, target_id: str, zone: str) -> TargetEvidence:
-        """Return the evidence on a target, made on first use."""
+    def get_target(self, target_id: str, zone: str) -> TargetEvidence:
+        """Return the evidence on a target, created on first use."""
         found = self.targets.get(target_id)
         if found is None:
             found = TargetEvidence(target_id, self.service, zone)
             self.targets[target_id] = found
         return found
 
-    def change_limits(self, limits: TestLimits, now: timedelta) -> None:
-        """Judge by other limits from now on; slots are renumbered to fit them."""
+    def update_limits(self, limits: TestLimits, now: timedelta) -> None:
+        """Apply changed limits and renumber the slots to match them."""
         if limits == self.limits:
             return
         self.limits = limits
         slot = limits.slot_at(now)
-        for comparison in self.comparisons.values():
-            comparison.rates.slot = slot
+        for baseline in self.baselines.values():
+            baseline.recent_counts.slot = slot
         for target in self.targets.values():
             target.path.slot = slot
             for tests in target.routes.values():
-                tests.rates.slot = slot
-                for test in (*tests.own.values(), *tests.pooled.values()):
+                tests.recent_counts.slot = slot
+                for test in (*tests.local.values(), *tests.pooled.values()):
                     test.slot = slot
 
-    def comparison(self, route: str) -> RouteComparison:
-        """Return what the service is like on a route, made on first use."""
-        found = self.comparisons.get(route)
+    def get_baseline(self, route: str) -> RouteBaseline:
+        """Return the baseline of a route, created on first use."""
+        found = self.baselines.get(route)
         if found is None:
-            found = self.comparisons[route] = RouteComparison()
+            found = self.baselines[route] = RouteBaseline()
         return found
 
-    def add_outcome(
+    def record_outcome(
         self,
         target: TargetEvidence,
         route: str,
@@ -255,50 +268,50 @@
         slow: bool | None,
         slot: int,
     ) -> None:
-        """Count one outcome of this daemon.
+        """Record one outcome of this daemon.
 
-        :param slow: whether it was slow; ``None`` if its latency was not judged.
+        :param slow: whether it was slow; ``None`` if its latency was not assessed.
         """
-        tests = target.tests_of(route)
-        comparison = self.comparison(route)
-        decay = self.limits.rate_decay
+        tests = target.get_tests(route)
+        baseline = self.get_baseline(route)
+        decay = self.limits.count_decay
         timed = slow is not None
-        for rates in (tests.rates, comparison.rates):
-            rates.advance(slot, decay)
-            rates.add(1, failed, timed, bool(slow))
+        for recent_counts in (tests.recent_counts, baseline.recent_counts):
+            recent_counts.decay_to_slot(slot, decay)
+            recent_counts.add(1, failed, timed, bool(slow))
         tests.unsent.add(failed, slow)
         self.unsent[target.target_id] = None
         if route == STALL_ROUTE:
-            self.add_ratio(tests, comparison, Symptom.HANGING, bool(slow), slot)
+            self.update_tests(tests, baseline, Symptom.HANGING, bool(slow), slot)
             return
-        self.add_ratio(tests, comparison, Symptom.FAILING, failed, slot)
+        self.update_tests(tests, baseline, Symptom.FAILING, failed, slot)
         if slow is not None:
-            self.add_ratio(tests, comparison, Symptom.SLOW, slow, slot)
+            self.update_tests(tests, baseline, Symptom.SLOW, slow, slot)
 
-    def add_ratio(
+    def update_tests(
         self,
         tests: RouteTests,
-        comparison: RouteComparison,
+        baseline: RouteBaseline,
         symptom: Symptom,
         bad: bool,
         slot: int,
     ) -> None:
         """Add one outcome to the tests of one symptom."""
-        share = comparison.healthy_share(symptom, tests.rates)
-        hypotheses = hypotheses_for(symptom, share)
-        ratio = hypotheses.bad if bad else hypotheses.good
+        healthy_rate = baseline.estimate_healthy_rate(symptom, tests.recent_counts)
+        ratios = likelihood_ratios(symptom, healthy_rate)
+        ratio = ratios.bad if bad else ratios.good
         decay, cap = self.limits.score_decay, SLOT_CAP[symptom]
-        tests.own[symptom].add(ratio, cap, slot, decay)
+        tests.local[symptom].add(ratio, cap, slot, decay)
         tests.pooled[symptom].add(ratio, cap, slot, decay)
 
-    def add_own_stall(self, target: TargetEvidence, slot: int) -> None:
-        """Add one more stall to this daemon's own test only."""
-        tests = target.tests_of(STALL_ROUTE)
-        ratio = hypotheses_for(Symptom.HANGING, HEALTHY_HANGING).bad
+    def record_local_stall(self, target: TargetEvidence, slot: int) -> None:
+        """Record a stall in this daemon's local test only."""
+        tests = target.get_tests(STALL_ROUTE)
+        ratio = likelihood_ratios(Symptom.HANGING, HEALTHY_HANGING_RATE).bad
         cap = SLOT_CAP[Symptom.HANGING]
-        tests.own[Symptom.HANGING].add(ratio, cap, slot, self.limits.score_decay)
+        tests.local[Symptom.HANGING].add(ratio, cap, slot, self.limits.score_decay)
 
-    def add_report(
+    def record_report(
         self,
         target: TargetEvidence,
         route: str,
@@ -307,13 +320,13 @@
         bad: int,
         slot: int,
     ) -> None:
-        """Add outcomes that another daemon reported to the pooled test."""
-        tests = target.tests_of(route)
-        comparison = self.comparison(route)
-        tests.rates.advance(slot, self.limits.rate_decay)
-        comparison.rates.advance(slot, self.limits.rate_decay)
-        share = comparison.healthy_share(symptom, tests.rates)
-        hypotheses = hypotheses_for(symptom, share)
-        ratio = bad * hypotheses.bad + good * hypotheses.good
+        """Add outcomes reported by another daemon to the pooled test."""
+        tests = target.get_tests(route)
+        baseline = self.get_baseline(route)
+        tests.recent_counts.decay_to_slot(slot, self.limits.count_decay)
+        baseline.recent_counts.decay_to_slot(slot, self.limits.count_decay)
+        healthy_rate = baseline.estimate_healthy_rate(symptom, tests.recent_counts)
+        ratios = likelihood_ratios(symptom, healthy_rate)
+        ratio = bad * ratios.bad + good * ratios.good
         decay, cap = self.limits.score_decay, SLOT_CAP[symptom]
         tests.pooled[symptom].add(ratio, cap, slot, decay)
