--- a/features/steps/asking_gates_steps.py
+++ b/features/steps/asking_gates_steps.py
@@ -399,8 +399,8 @@
 @given("{amount} retries of the fleet are left")
 def set_budget(context, amount):
     if amount == "no":
-        shared = context.world.sender.retries.shared
-        shared.find_room = lambda service: 0.0
+        shared = context.world.sender.retries.shared_budget
+        shared.compute_remaining = lambda service: 0.0
 
 
 @then("{least:d} to {most:d} of them were sent to a doubted target first")
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -83,7 +83,7 @@
             make_request(self.context), idempotent=False, idempotency_key=key, **changes
         )
         self.last = request
-        outcome = self.guard.begin(request, body)
+        outcome = self.guard.decide_request(request, body)
         self.decision = None
         if not isinstance(outcome.decision, Wait):
             self.decision = outcome.decision
@@ -134,7 +134,7 @@
     context.log = []
     context.daemons = {name: GuardedDaemon(context, name) for name in DAEMONS}
     for daemon in context.daemons.values():
-        daemon.guard.find_claims("contracts")
+        daemon.guard.get_claims("contracts")
 
 
 @given('a ticket of daemon "{name:Q}"')
@@ -170,7 +170,7 @@
 @when('daemon "{name:Q}" restarts before it has read the log')
 def restart_unread(context, name):
     context.daemons[name] = GuardedDaemon(context, name, boot=2)
-    context.daemons[name].guard.find_claims("contracts")
+    context.daemons[name].guard.get_claims("contracts")
 
 
 @when(
@@ -206,7 +206,7 @@
 @when('"{name:Q}" gets a request with key "{key:Q}" although it has no room')
 def claim_without_room(context, name, key):
     daemon = context.daemons[name]
-    fold = daemon.guard.find_claims("contracts").fold
+    fold = daemon.guard.get_claims("contracts").fold
     daemon.begin(key)
     # The claim of another daemon on the same key comes first and finds no room;
     # room is made before the own claim is read.
@@ -214,7 +214,7 @@
     other = ClaimBatch("z", "boot", (entry,))
     context.log.append(encode_message(other))
     daemon.read()
-    fold.forget(next(iter(fold.claims)))
+    fold.remove(next(iter(fold.claims)))
     pump(context, name)
 
 
@@ -277,7 +277,7 @@
 
 def finish(daemon, run_id, verdict, answer=None):
     stored = StoredAnswer(200, (), answer.encode()) if answer else None
-    daemon.take(daemon.guard.finish(run_id, Verdict(verdict), stored))
+    daemon.take(daemon.guard.finish_run(run_id, Verdict(verdict), stored))
 
 
 @when('the run at "{name:Q}" ends as "{verdict:Q}"')
@@ -301,7 +301,7 @@
 @when('daemon "{name:Q}" restarts')
 def restart(context, name):
     context.daemons[name] = GuardedDaemon(context, name, boot=2)
-    context.daemons[name].guard.find_claims("contracts")
+    context.daemons[name].guard.get_claims("contracts")
     context.daemons[name].read()
 
 
@@ -440,7 +440,7 @@
 @when('the request at "{name:Q}" is given up')
 def give_up(context, name):
     daemon = context.daemons[name]
-    daemon.guard.abandon(daemon.last)
+    daemon.guard.cancel_wait(daemon.last)
 
 
 @when('the claimed run at "{name:Q}" ends as "{verdict:Q}"')
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -203,7 +203,7 @@
 @then("all {count:d} retries are left")
 def check_budget(context, count):
     retries = context.world.entry.sender.retries
-    assert retries.find_budget("contracts").tokens == count
+    assert retries.get_budget("contracts").tokens == count
 
 
 @given("every attempt hangs")
--- a/features/steps/gate_steps.py
+++ b/features/steps/gate_steps.py
@@ -164,7 +164,7 @@
 def run_full_load(context, rounds, sustained):
     serial = 2000
     for _ in range(rounds):
-        count = context.gate.queue.limit.whole
+        count = context.gate.queue.limit.max_running
         serials = range(serial, serial + count)
         for number in serials:
             context.gate.arrive(number)
@@ -224,13 +224,13 @@
 @then("between {low:d} and {high:d} requests may run at once")
 def check_limit_range(context, low, high):
     limit = context.gate.queue.limit
-    assert low <= limit.whole <= high, limit.value
+    assert low <= limit.max_running <= high, limit.value
 
 
 @then("{limit:d} request may run at once")
 @then("{limit:d} requests may run at once")
 def check_limit(context, limit):
-    assert context.gate.queue.limit.whole == limit, context.gate.queue.limit.value
+    assert context.gate.queue.limit.max_running == limit, context.gate.queue.limit.value
 
 
 @given("a gate before a backend server with {slots:d} slots that can be trusted")
--- a/features/steps/histories_steps.py
+++ b/features/steps/histories_steps.py
@@ -91,15 +91,15 @@
 
 
 def win_always(claims, pending):
-    return claims.win(pending)
+    return claims.run_first_waiting(pending)
 
 
 def settle_by_acknowledgment(claims, event):
-    entries = claims.appender.under_way
+    entries = claims.appender.in_flight_entries
     effects = real_settle_append(claims, event)
     for entry in entries:
         if event.offset is not None and entry.key in claims.pending:
-            effects = claims.win(claims.pending.pop(entry.key)) + effects
+            effects = claims.run_first_waiting(claims.pending.pop(entry.key)) + effects
     return effects
 
 
@@ -152,36 +152,36 @@
     return error
 
 
-real_settle_append = ServiceClaims.settle_append
+real_settle_append = ServiceClaims.complete_append
 real_finish = RunStore.finish
 real_decide = TicketIssuer.decide
 real_execute = FakeFleet.execute
 real_wait_for_reply = FakeFleet.wait_for_reply
-real_log_away_error = claims.make_log_away_error
+real_log_away_error = claims.build_log_unavailable_error
 
 PLANTED = {
     "resend of a non-idempotent request": (
         RetryPolicy,
-        "take_retry",
+        "try_acquire_retry",
         lambda policy, request, error, attempts, sent=0: attempts < 3,
     ),
     "answer of another request": (FakeFleet, "execute", answer_late),
     "truncated answer passed on as whole": (FakeFleet, "execute", pass_on_short),
     "lost answer called not run": (FakeFleet, "wait_for_reply", call_lost_not_run),
-    "claim ignored": (ServiceClaims, "decide", win_always),
+    "claim ignored": (ServiceClaims, "decide_pending", win_always),
     "claim won by its acknowledgment": (
         ServiceClaims,
-        "settle_append",
+        "complete_append",
         settle_by_acknowledgment,
     ),
     "claim released after it may have run": (RunStore, "finish", finish_as_not_run),
     "ticket run again by its issuer": (RunStore, "finish", finish_as_not_run),
     "ticket run by another daemon": (TicketIssuer, "decide", run_any_ticket),
     "ticket of an earlier incarnation run": (TicketIssuer, "decide", run_old_ticket),
-    "release forgotten": (ServiceClaims, "release", lambda claims, claim: []),
+    "release forgotten": (ServiceClaims, "release_claim", lambda claims, claim: []),
     "refusal with the log away called not run": (
         claims,
-        "make_log_away_error",
+        "build_log_unavailable_error",
         refuse_as_not_run,
     ),
 }
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -38,7 +38,7 @@
     def handle(self, event):
         effects = super().handle(event)
         if any(isinstance(effect, TellAttemptState) for effect in effects):
-            self.memory.revoked.added_at.clear()
+            self.history.revoked.added_at.clear()
             return [TellAttemptState(AttemptState.REVOKED)]
         return effects
 
--- a/features/steps/patience_steps.py
+++ b/features/steps/patience_steps.py
@@ -6,7 +6,7 @@
 from behave import then
 from routing_steps import make_request
 
-from wagtailstep.controllers.patience import find_patience
+from wagtailstep.controllers.attempt_timeout import compute_attempt_timeout
 
 MILLISECOND = timedelta(milliseconds=1)
 
@@ -19,7 +19,7 @@
     request = attrs.evolve(
         make_request(context), idempotent=safety == "idempotent", aim=aim * MILLISECOND
     )
-    found = find_patience(request, left * MILLISECOND, usual * MILLISECOND)
+    found = compute_attempt_timeout(request, left * MILLISECOND, usual * MILLISECOND)
     expected = None
     if patience != "never":
         expected = int(patience.removesuffix(" ms")) * MILLISECOND
--- a/features/steps/retries_steps.py
+++ b/features/steps/retries_steps.py
@@ -34,7 +34,7 @@
     for _ in range(count):
         context.policy.record_first_attempt("contracts")
         request = make_request(context)
-        context.retries += context.policy.take_retry(request, ERRORS[end], 1)
+        context.retries += context.policy.try_acquire_retry(request, ERRORS[end], 1)
 
 
 @then("between {low:d} and {high:d} retries were allowed")
@@ -45,12 +45,12 @@
 @then('a retry for service "{service}" is allowed')
 def check_other_service(context, service):
     request = make_request(context, service=service)
-    assert context.policy.take_retry(request, ERRORS["connection refused"], 1)
+    assert context.policy.try_acquire_retry(request, ERRORS["connection refused"], 1)
 
 
 @given("the budget is used up")
 def use_up(context):
-    while context.policy.take_token("contracts"):
+    while context.policy.try_acquire_token("contracts"):
         pass
 
 
@@ -70,7 +70,9 @@
 
 
 def ask(context):
-    return context.policy.take_retry(context.retried, context.failure, context.failures)
+    return context.policy.try_acquire_retry(
+        context.retried, context.failure, context.failures
+    )
 
 
 @then("a retry is allowed")
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -288,7 +288,7 @@
 @then("at most {count:d} of them are remembered")
 def check_buckets(context, count):
     assert len(context.admitted) == 5000
-    assert len(context.routing.accounts.buckets) <= count
+    assert len(context.routing.account_limiter.buckets) <= count
 
 
 @then("at most {count:d} services are wanted")
--- a/features/steps/shared_retries_steps.py
+++ b/features/steps/shared_retries_steps.py
@@ -33,7 +33,7 @@
 def set_calls(context, service, ratio, called):
     context.ratio = ratio
     for policy in context.policies:
-        policy.learn_calls(f"{service}-lookup", {called: ratio})
+        policy.record_calls(f"{service}-lookup", {called: ratio})
 
 
 @when(
@@ -56,7 +56,7 @@
                 idempotent=True,
                 deadline=context.clock.monotonic() + timedelta(seconds=4),
             )
-            if policy.take_retry(request, LOST, 1, 1):
+            if policy.try_acquire_retry(request, LOST, 1, 1):
                 context.retries.append(now)
 
 
@@ -100,7 +100,7 @@
         deadline=deadline,
         max_attempts=max_attempts,
     )
-    return policy.take_retry(request, error, attempts, sent)
+    return policy.try_acquire_retry(request, error, attempts, sent)
 
 
 @then("a request that {count:d} gates refused as busy may be sent once more")
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -15,7 +15,9 @@
 
 @given("retries that don't ask whether a request may be repeated")
 def plant_careless_retries(context):
-    patch = mock.patch.object(RetryPolicy, "take_retry", lambda *args: args[3] < 3)
+    patch = mock.patch.object(
+        RetryPolicy, "try_acquire_retry", lambda *args: args[3] < 3
+    )
     patch.start()
     context.add_cleanup(patch.stop)
 
--- a/src/wagtailstep/controllers/claim_appends.py
+++ b/src/wagtailstep/controllers/claim_appends.py
@@ -25,7 +25,7 @@
     :param boot_id: this run of its process.
     :param rng: makes the identifiers of appends.
     :param queue: entries to append, in order.
-    :param under_way: entries of the append under way.
+    :param in_flight_entries: entries of the append under way.
     :param append_id: identifier of the append under way, or an empty string.
     :param not_before: monotonic time before which nothing is appended.
     """
@@ -35,7 +35,7 @@
     boot_id: str
     rng: random.Random
     queue: list[ClaimEntry] = attrs.field(factory=list)
-    under_way: tuple[ClaimEntry, ...] = ()
+    in_flight_entries: tuple[ClaimEntry, ...] = ()
     append_id: str = ""
     not_before: timedelta = timedelta()
 
@@ -43,7 +43,7 @@
         """Put an entry behind all others."""
         self.queue.append(entry)
 
-    def withdraw(self, entry: ClaimEntry) -> None:
+    def remove_queued(self, entry: ClaimEntry) -> None:
         """Drop the copies of an entry that have not been sent."""
         self.queue = [e for e in self.queue if e != entry]
 
@@ -54,19 +54,21 @@
         """
         if self.append_id or not self.queue or now < self.not_before:
             return []
-        self.under_way = tuple(self.queue[:MAX_BATCH_ENTRIES])
+        self.in_flight_entries = tuple(self.queue[:MAX_BATCH_ENTRIES])
         del self.queue[:MAX_BATCH_ENTRIES]
         self.append_id = make_id(self.rng)
-        batch = ClaimBatch(self.daemon_id, self.boot_id, self.under_way)
+        batch = ClaimBatch(self.daemon_id, self.boot_id, self.in_flight_entries)
         return [AppendToLog(self.stream, batch, self.append_id)]
 
-    def settle(self, event: LogAppendSettled, now: timedelta) -> tuple[ClaimEntry, ...]:
+    def complete_append(
+        self, event: LogAppendSettled, now: timedelta
+    ) -> tuple[ClaimEntry, ...]:
         """Take the end of the append under way.
 
         :param now: monotonic time.
         :return: its entries if it was not acknowledged, else nothing.
         """
-        entries, self.under_way, self.append_id = self.under_way, (), ""
+        entries, self.in_flight_entries, self.append_id = self.in_flight_entries, (), ""
         if event.offset is not None:
             return ()
         self.not_before = now + RETRY_INTERVAL
--- a/src/wagtailstep/controllers/claim_errors.py
+++ b/src/wagtailstep/controllers/claim_errors.py
@@ -2,21 +2,21 @@
 
 from datetime import timedelta
 
-from wagtailstep.controllers.runs import make_unknown_error
+from wagtailstep.controllers.runs import build_unknown_outcome_error
 from wagtailstep.exceptions import RequestError
 from wagtailstep.models.request import RequestContext
 from wagtailstep.models.verdict import Verdict
 
-LOG_AWAY_RETRY_AFTER = timedelta(seconds=5)
+CLAIM_RETRY_AFTER = timedelta(seconds=5)
 SERVICE_UNAVAILABLE = 503
 
 
-def make_gap_error(request: RequestContext) -> RequestError:
+def build_log_gap_error(request: RequestContext) -> RequestError:
     """Make the refusal of a request whose claim may lie in a gap of the log."""
-    return make_unknown_error("the log forgot records before they were read")
+    return build_unknown_outcome_error("the log forgot records before they were read")
 
 
-def make_log_away_error(request: RequestContext) -> RequestError:
+def build_log_unavailable_error(request: RequestContext) -> RequestError:
     """Make the refusal of a keyed request that can't be claimed now."""
     error = RequestError(
         "the log service is away, so nobody can tell whether this Idempotency-Key "
@@ -24,20 +24,20 @@
         "time in Retry-After, or use a ticket",
         refusal_verdict(request),
         SERVICE_UNAVAILABLE,
-        LOG_AWAY_RETRY_AFTER,
+        CLAIM_RETRY_AFTER,
     )
     error.reason = "log-away"
     return error
 
 
-def make_full_error(request: RequestContext) -> RequestError:
+def build_claim_capacity_error(request: RequestContext) -> RequestError:
     """Make the refusal of a plain key when there is no room to remember more."""
     error = RequestError(
         "more keys were claimed than this daemon can remember; this sending was not "
         "run; use a ticket",
         refusal_verdict(request),
         SERVICE_UNAVAILABLE,
-        LOG_AWAY_RETRY_AFTER,
+        CLAIM_RETRY_AFTER,
     )
     error.reason = "too-many-keys"
     return error
--- a/src/wagtailstep/controllers/claim_fold.py
+++ b/src/wagtailstep/controllers/claim_fold.py
@@ -16,10 +16,10 @@
 class ClaimCapacity:
     """Room for claims, shared by all services of a daemon.
 
-    :param left: number of further claims that can be remembered.
+    :param remaining: number of further claims that can be remembered.
     """
 
-    left: int
+    remaining: int
 
 
 class ClaimFold:
@@ -56,22 +56,22 @@
         """
         holder = self.find_holder(entry.key)
         if entry.released:
-            if holder is not None and is_claim_of(holder, batch.boot_id, entry):
-                self.forget(entry.key)
+            if holder is not None and matches_claim(holder, batch.boot_id, entry):
+                self.remove(entry.key)
             return
         if holder is not None:
             return
-        self.drop_expired(now)
+        self.remove_expired(now)
         expires = now + self.retention
-        if self.capacity.left <= 0:
+        if self.capacity.remaining <= 0:
             self.incomplete_until = expires
             return
-        self.capacity.left -= 1
+        self.capacity.remaining -= 1
         # Few daemons make all the claims, so their names are kept once.
         daemon_id, boot_id = sys.intern(batch.daemon_id), sys.intern(batch.boot_id)
         self.claims[entry.key] = ClaimHolder(entry.serial, daemon_id, boot_id, expires)
 
-    def drop_expired(self, now: timedelta) -> None:
+    def remove_expired(self, now: timedelta) -> None:
         """Forget claims that the log has forgotten.
 
         :param now: monotonic time.
@@ -80,20 +80,20 @@
             key, holder = next(iter(self.claims.items()))
             if holder.expires > now:
                 return
-            self.forget(key)
+            self.remove(key)
 
-    def forget(self, key: bytes) -> None:
+    def remove(self, key: bytes) -> None:
         """Forget the claim that holds a key."""
         del self.claims[key]
-        self.capacity.left += 1
+        self.capacity.remaining += 1
 
     def clear(self) -> None:
         """Forget all claims, because newer records than these have expired."""
-        self.capacity.left += len(self.claims)
+        self.capacity.remaining += len(self.claims)
         self.claims.clear()
 
 
-def is_claim_of(holder: ClaimHolder, boot_id: str, entry: ClaimEntry) -> bool:
+def matches_claim(holder: ClaimHolder, boot_id: str, entry: ClaimEntry) -> bool:
     """Tell whether a key is held by a certain claim.
 
     :param boot_id: run of the process that made the claim.
--- a/src/wagtailstep/controllers/concurrency.py
+++ b/src/wagtailstep/controllers/concurrency.py
@@ -30,7 +30,7 @@
         self.decreased_at = timedelta.min
 
     @property
-    def whole(self) -> int:
+    def max_running(self) -> int:
         """Return the number of requests that may run at once."""
         return max(1, int(self.value))
 
@@ -50,7 +50,7 @@
         result: RunResult,
         started_at: timedelta,
         ended_at: timedelta,
-        beside: int,
+        concurrent_others: int,
     ) -> None:
         """Learn from one request.
 
@@ -58,20 +58,20 @@
         :param result: how the backend server dealt with it.
         :param started_at: monotonic time when it was sent.
         :param ended_at: monotonic time when it ended.
-        :param beside: most other requests that ran at the same time.
+        :param concurrent_others: most other requests that ran at the same time.
         """
         seconds = (ended_at - started_at).total_seconds()
-        if self.is_overload(route, result, seconds, beside):
+        if self.is_overload(route, result, seconds, concurrent_others):
             self.decrease(started_at, ended_at)
         if result is not RunResult.ANSWERED:
             return
         average_s = self.average_s.get(route, seconds)
         self.average_s[route] = average_s + AVERAGE_WEIGHT * (seconds - average_s)
-        if beside + 1 >= self.whole:
+        if concurrent_others + 1 >= self.max_running:
             self.value = min(self.slots, self.value + INCREASE_STEP / self.value)
 
     def is_overload(
-        self, route: str, result: RunResult, seconds: float, beside: int
+        self, route: str, result: RunResult, seconds: float, concurrent_others: int
     ) -> bool:
         """Tell whether a request shows that too many ran at once.
 
@@ -80,9 +80,9 @@
         with slots free, by a number that can be trusted, shows a fault instead.
         """
         if result is RunResult.REFUSED:
-            return not self.trust_slots or beside + 1 >= self.slots
-        usual_s = self.average_s.get(route, 0.0)
-        return result is RunResult.TIMED_OUT and seconds > SLOW_FACTOR * usual_s
+            return not self.trust_slots or concurrent_others + 1 >= self.slots
+        typical_s = self.average_s.get(route, 0.0)
+        return result is RunResult.TIMED_OUT and seconds > SLOW_FACTOR * typical_s
 
     def decrease(self, started_at: timedelta, ended_at: timedelta) -> None:
         """Lower the limit once for all requests that ran at the same time."""
--- a/src/wagtailstep/controllers/gate.py
+++ b/src/wagtailstep/controllers/gate.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from wagtailstep.controllers.concurrency import ConcurrencyLimit
-from wagtailstep.controllers.request_memory import RequestMemory
+from wagtailstep.controllers.request_history import RequestHistory
 from wagtailstep.controllers.target_queue import RunningRequest, TargetQueue
 from wagtailstep.exceptions import (
     ConnectionFailedError,
@@ -45,13 +45,13 @@
 from wagtailstep.utils.clock import Clock
 
 # A request that is late anyway may still wait for the next slot.
-SHORT_WAIT = timedelta(milliseconds=150)
+MAX_WAIT_PAST_AIM = timedelta(milliseconds=150)
 # Asking another gate takes a few milliseconds and work at both ends. With four slots
 # and work of a quarter of a second the next slot is free after about this time.
-BRIEF_WAIT = timedelta(milliseconds=60)
+MAX_WAIT_BEFORE_REROUTE = timedelta(milliseconds=60)
 # Usual times that a request is given between its start and its aim: one to run, one
 # for the error of the expected wait. docs/design/queueing.md has the figures.
-RESERVED_TIMES = 2.0
+AIM_RESERVE_FACTOR = 2.0
 MIN_RETRY_AFTER = timedelta(milliseconds=200)
 
 
@@ -76,8 +76,8 @@
         self.clock = clock
         self.rng = rng
         self.queues: dict[str, TargetQueue] = {}
-        self.queue_of_serial: dict[int, TargetQueue] = {}
-        self.memory = RequestMemory(clock)
+        self.queues_by_serial: dict[int, TargetQueue] = {}
+        self.history = RequestHistory(clock)
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
@@ -91,56 +91,58 @@
         error = self.find_refusal(request)
         if error is not None:
             return [RefuseRequest(request.serial, error)]
-        queue = self.find_queue(request.target_id)
-        self.memory.accept(request)
-        self.queue_of_serial[request.serial] = queue
-        if queue.has_free_slot and not queue.has_waiting_before(request):
+        queue = self.get_queue(request.target_id)
+        self.history.record_accepted(request)
+        self.queues_by_serial[request.serial] = queue
+        if queue.has_free_slot and not queue.has_earlier_waiting(request):
             return [self.start(queue, request)]
         queue.waiting[request.serial] = request
         return []
 
     @handle.register
-    def end(self, event: GateRequestEnded) -> list[Any]:
+    def complete_request(self, event: GateRequestEnded) -> list[Any]:
         """Free the slot of a request that ended and start the next ones."""
-        queue = self.queue_of_serial.pop(event.serial, None)
+        queue = self.queues_by_serial.pop(event.serial, None)
         if queue is None:
             return []
-        entry = queue.running.pop(event.serial)
+        running = queue.running.pop(event.serial)
         if event.executed:
-            self.memory.end(entry.request)
+            self.history.record_ended(running.request)
         else:
-            self.memory.forget(entry.request)
+            self.history.discard_unstarted(running.request)
         queue.limit.record(
-            entry.request.route,
+            running.request.route,
             event.result,
-            entry.started_at,
+            running.started_at,
             self.clock.monotonic(),
-            entry.beside,
+            running.concurrent_others,
         )
         return self.start_waiting(queue)
 
     @handle.register
-    def abandon(self, event: GateRequestAbandoned) -> list[Any]:
+    def cancel_request(self, event: GateRequestAbandoned) -> list[Any]:
         """Take out a request whose caller has gone."""
-        queue = self.queue_of_serial.get(event.serial)
+        queue = self.queues_by_serial.get(event.serial)
         if queue is None:
             return []
         if event.serial in queue.running:
-            return self.end(GateRequestEnded(event.serial, RunResult.ABANDONED))
-        del self.queue_of_serial[event.serial]
-        self.memory.forget(queue.waiting.pop(event.serial))
+            return self.complete_request(
+                GateRequestEnded(event.serial, RunResult.ABANDONED)
+            )
+        del self.queues_by_serial[event.serial]
+        self.history.discard_unstarted(queue.waiting.pop(event.serial))
         return []
 
     @handle.register
     def revoke(self, event: AttemptRevoked) -> list[Any]:
         """Bar an attempt that has not arrived, and tell what became of it."""
-        return [TellAttemptState(self.memory.revoke(event.attempt_id))]
+        return [TellAttemptState(self.history.revoke(event.attempt_id))]
 
     def find_refusal(self, request: GateRequest) -> RequestError | None:
         """Return why a request can't be taken, or ``None``."""
-        if self.memory.is_revoked(request.attempt_id):
-            return describe_revoked(request)
-        if self.memory.was_accepted(request):
+        if self.history.is_revoked(request.attempt_id):
+            return build_revoked_error(request)
+        if self.history.was_accepted(request):
             message = f"request {request.request_id} was accepted before"
             # The caller has sent it once; only this fleet's own sending is a duplicate.
             status = HTTPStatus.BAD_GATEWAY
@@ -171,21 +173,21 @@
 
     def find_overload(self, request: GateRequest) -> RequestError | None:
         """Return a refusal if the request would wait for too long, or ``None``."""
-        queue = self.find_queue(request.target_id)
-        if queue.has_free_slot and not queue.has_waiting_before(request):
+        queue = self.get_queue(request.target_id)
+        if queue.has_free_slot and not queue.has_earlier_waiting(request):
             return None
         now = self.clock.monotonic()
-        wait = queue.expected_wait(now, request)
+        wait = queue.estimate_wait(now, request)
         retry_after = max(MIN_RETRY_AFTER, wait)
         if len(queue.waiting) >= self.settings.queue_length:
             return OverloadedError(f"the queue of {request.target_id} is full", wait)
         if wait > timedelta(milliseconds=self.settings.queue_timeout_ms):
             message = f"the queue of {request.target_id} is too long"
             return OverloadedError(message, retry_after)
-        if not request.may_wait and wait > BRIEF_WAIT:
+        if not request.may_wait and wait > MAX_WAIT_BEFORE_REROUTE:
             return OverloadedError(f"no slot of {request.target_id} is free", wait)
-        ends_at = now + wait + queue.time_of(request)
-        if self.misses_aim(request, queue, now + wait):
+        ends_at = now + wait + queue.expected_duration(request)
+        if self.would_miss_aim(request, queue, now + wait):
             message = f"{request.target_id} can't answer while that is of full use"
             return OverloadedError(message, retry_after)
         if ends_at > request.deadline:
@@ -193,7 +195,7 @@
             return OverloadedError(message, retry_after)
         return None
 
-    def misses_aim(
+    def would_miss_aim(
         self, request: GateRequest, queue: TargetQueue, starts_at: timedelta
     ) -> bool:
         """Tell whether a queue is so long that waiting in it makes the answer late.
@@ -203,9 +205,9 @@
         """
         if request.aim_at is None:
             return False
-        if starts_at - self.clock.monotonic() <= SHORT_WAIT:
+        if starts_at - self.clock.monotonic() <= MAX_WAIT_PAST_AIM:
             return False
-        reserve = RESERVED_TIMES * queue.time_of(request)
+        reserve = AIM_RESERVE_FACTOR * queue.expected_duration(request)
         return starts_at + reserve > request.aim_at
 
     def count_waiting(self) -> dict[str, int]:
@@ -227,18 +229,18 @@
         """Tell whether a backend server is beside this daemon."""
         return target.daemon_id == self.blackboard.this_member.daemon_id
 
-    def find_queue(self, target_id: str) -> TargetQueue:
+    def get_queue(self, target_id: str) -> TargetQueue:
         """Return the queue of a known target, sized by its slots."""
         slots = self.blackboard.targets[target_id].slots
         queue = self.queues.get(target_id)
         if queue is None:
-            self.drop_old_queues()
+            self.remove_unused_queues()
             queue = TargetQueue(ConcurrencyLimit(slots, self.settings.trust_slots))
             self.queues[target_id] = queue
         queue.limit.resize(slots)
         return queue
 
-    def drop_old_queues(self) -> None:
+    def remove_unused_queues(self) -> None:
         """Forget backend servers that are gone and have nothing left to end."""
         for target_id, queue in list(self.queues.items()):
             is_empty = not queue.running and not queue.waiting
@@ -248,22 +250,24 @@
     def start(self, queue: TargetQueue, request: GateRequest) -> StartRequest:
         """Give a slot to a request."""
         now = self.clock.monotonic()
-        beside = len(queue.running)
-        for entry in queue.running.values():
-            entry.beside = max(entry.beside, beside)
-        queue.running[request.serial] = RunningRequest(request, now, beside)
+        concurrent_others = len(queue.running)
+        for running in queue.running.values():
+            running.concurrent_others = max(
+                running.concurrent_others, concurrent_others
+            )
+        queue.running[request.serial] = RunningRequest(request, now, concurrent_others)
         return StartRequest(request.serial)
 
     def start_waiting(self, queue: TargetQueue) -> list[Any]:
         """Start waiting requests while slots are free; refuse the late ones."""
         effects: list[Any] = []
         while queue.waiting and queue.has_free_slot:
-            serial, request = queue.take_next()
+            serial, request = queue.pop_next()
             if request.deadline > self.clock.monotonic():
                 effects.append(self.start(queue, request))
                 continue
-            del self.queue_of_serial[serial]
-            self.memory.forget(request)
+            del self.queues_by_serial[serial]
+            self.history.discard_unstarted(request)
             error = DeadlineExceededError(
                 "the deadline passed while the request waited", Verdict.NOT_RUN
             )
@@ -271,7 +275,7 @@
         return effects
 
 
-def describe_revoked(request: GateRequest) -> RequestError:
+def build_revoked_error(request: GateRequest) -> RequestError:
     """Describe why an attempt that arrives too late is refused."""
     error = ConnectionFailedError(
         f"attempt {request.attempt_id} arrived after its entry had given it up",
--- a/src/wagtailstep/controllers/guard.py
+++ b/src/wagtailstep/controllers/guard.py
@@ -1,10 +1,11 @@
-"""Keeps guarded requests from running twice.
-
-The entry asks :meth:`DuplicateGuard.begin` before it runs a guarded request (one
-that is not idempotent and has a key) and says :meth:`DuplicateGuard.finish` when the
-run has ended. Both return effects for the runtime. The runtime passes each
-:class:`~wagtailstep.models.idempotency.RequestDecided` effect, also those that
-:meth:`DuplicateGuard.handle` returns, to ``EntryService.settle``. It reads a
+"""Prevents guarded requests from being executed more than once.
+
+A guarded request is not idempotent and carries an idempotency key or a ticket. The
+entry calls :meth:`DuplicateGuard.decide_request` before it executes one and
+:meth:`DuplicateGuard.finish_run` when the execution has ended. Both return effects
+for the runtime, which passes each
+:class:`~wagtailstep.models.idempotency.RequestDecided` effect, including those that
+:meth:`DuplicateGuard.handle` returns, to ``EntryService.settle``. The runtime reads a
 stream as soon as an append to it has ended, so that claims are decided quickly.
 """
 
@@ -74,40 +75,40 @@
 
     @handle.register
     def _(self, event: LogRecordsRead) -> list[Any]:
-        claims = self.find_claims_of_stream(event.stream)
-        return claims.read(event.records) if claims is not None else []
+        claims = self.get_claims_of_stream(event.stream)
+        return claims.apply_records(event.records) if claims is not None else []
 
     @handle.register
     def _(self, event: LogGap) -> list[Any]:
-        claims = self.find_claims_of_stream(event.stream)
+        claims = self.get_claims_of_stream(event.stream)
         return claims.skip_gap(event.oldest_offset) if claims is not None else []
 
     @handle.register
     def _(self, event: LogAppendSettled) -> list[Any]:
         for claims in self.claims_by_service.values():
             if claims.appender.append_id == event.append_id:
-                return claims.settle_append(event)
+                return claims.complete_append(event)
         return []
 
-    def begin(self, request: RequestContext, fingerprint: str) -> GuardOutcome:
+    def decide_request(self, request: RequestContext, fingerprint: str) -> GuardOutcome:
         """Decide about a guarded request.
 
         :param fingerprint: digest of method, path, client account and body.
         :return: the decision; after :class:`~wagtailstep.models.idempotency.Wait`
-            the real one comes as an effect, unless :meth:`abandon` is called.
+            the real one comes as an effect, unless :meth:`cancel_wait` is called.
         :raises BadRequestError: if the key looks like a ticket and isn't one.
         """
         ticket = parse_ticket(request.idempotency_key)
         if ticket is not None:
             return GuardOutcome(self.tickets.decide(ticket, request, fingerprint))
-        claims = self.find_claims(request.service)
-        decision, effects = claims.begin(request, fingerprint)
+        claims = self.get_claims(request.service)
+        decision, effects = claims.decide_request(request, fingerprint)
         return GuardOutcome(decision, tuple(effects))
 
-    def finish(
+    def finish_run(
         self, run_id: str, verdict: Verdict, answer: StoredAnswer | None = None
     ) -> list[Any]:
-        """End a run that :meth:`begin` or an effect allowed.
+        """End a run that :meth:`decide_request` or an effect allowed.
 
         :param verdict: how it ended; ``NOT_RUN`` only as a fact.
         :param answer: its whole answer, if it is small enough to keep.
@@ -117,19 +118,19 @@
             return []
         decided = self.runs.finish(run, verdict, answer)
         if run.state is RunState.READY and run.claim is not None:
-            return [*decided, *self.find_claims(run.service).finish(run)]
+            return [*decided, *self.get_claims(run.service).release_run(run)]
         return list(decided)
 
-    def abandon(self, request: RequestContext) -> None:
+    def cancel_wait(self, request: RequestContext) -> None:
         """Forget a request that was told to wait and has been given up."""
         claims = self.claims_by_service.get(request.service)
         if claims is not None:
-            claims.abandon(request)
+            claims.cancel_wait(request)
         run = self.find_run(request)
         if run is not None and request.request_id in run.waiting:
             run.waiting.remove(request.request_id)
 
-    def knows_not_run(self, request: RequestContext) -> bool:
+    def is_known_not_run(self, request: RequestContext) -> bool:
         """Tell whether no earlier sending of a guarded request has run, as a fact."""
         run = self.find_run(request)
         return run is not None and run.state is RunState.READY
@@ -141,7 +142,7 @@
         key = digest_key(request.account, request.idempotency_key)
         return self.runs.find(f"{request.service}/{key.hex()}")
 
-    def find_claims(self, service: str) -> ServiceClaims:
+    def get_claims(self, service: str) -> ServiceClaims:
         """Return the claims of a service; the first call makes the claims."""
         claims = self.claims_by_service.get(service)
         if claims is None:
@@ -157,7 +158,7 @@
             )
         return claims
 
-    def find_claims_of_stream(self, stream: str) -> ServiceClaims | None:
+    def get_claims_of_stream(self, stream: str) -> ServiceClaims | None:
         """Return the claims that follows a stream, or ``None``."""
         if not stream.startswith(STREAM_PREFIX):
             return None
--- a/src/wagtailstep/controllers/limits.py
+++ b/src/wagtailstep/controllers/limits.py
@@ -14,7 +14,7 @@
 
 RETRY_AFTER = timedelta(seconds=1)
 TOO_MANY_REQUESTS = 429
-BURST = timedelta(seconds=1)
+BURST_DURATION = timedelta(seconds=1)
 
 
 def check_concurrency(blackboard: Blackboard, request: RequestContext) -> None:
@@ -46,11 +46,11 @@
     """Tokens that refill with time.
 
     :param tokens: tokens left.
-    :param updated: monotonic time when ``tokens`` was right.
+    :param updated_at: monotonic time when ``tokens`` was right.
     """
 
     tokens: float
-    updated: timedelta
+    updated_at: timedelta
 
     def refill(self, now: timedelta, rate: float, burst: float) -> None:
         """Add the tokens of the time since the last refill.
@@ -59,9 +59,9 @@
         :param rate: tokens per second.
         :param burst: most tokens that may be left.
         """
-        gained = (now - self.updated).total_seconds() * rate
+        gained = (now - self.updated_at).total_seconds() * rate
         self.tokens = min(burst, self.tokens + gained)
-        self.updated = now
+        self.updated_at = now
 
 
 class AccountLimiter:
@@ -77,16 +77,16 @@
         self.clock = clock
         self.buckets: OrderedDict[str, TokenBucket] = OrderedDict()
 
-    def take(self, table: Table, request: RequestContext) -> None:
+    def acquire_token(self, table: Table, request: RequestContext) -> None:
         """Take one token of the request's client account.
 
         :raises OverloadedError: if the account has none left.
         """
-        rate = find_rate_limit(table, request.service, request.account)
+        rate = get_rate_limit(table, request.service, request.account)
         if not rate or not request.account:
             return
         account_id = f"{request.service}/{request.account}"
-        bucket = self.find_bucket(account_id, rate)
+        bucket = self.get_bucket(account_id, rate)
         if bucket.tokens < 1:
             wait = timedelta(seconds=(1 - bucket.tokens) / rate)
             raise OverloadedError(
@@ -97,10 +97,10 @@
             )
         bucket.tokens -= 1
 
-    def find_bucket(self, account_id: str, rate: float) -> TokenBucket:
+    def get_bucket(self, account_id: str, rate: float) -> TokenBucket:
         """Return the refilled bucket of an account, making room for it."""
         now = self.clock.monotonic()
-        burst = max(1.0, rate * BURST.total_seconds())
+        burst = max(1.0, rate * BURST_DURATION.total_seconds())
         bucket = self.buckets.get(account_id)
         if bucket is None:
             bucket = self.buckets[account_id] = TokenBucket(burst, now)
@@ -111,7 +111,7 @@
         return bucket
 
 
-def find_rate_limit(table: Table, service: str, account: str) -> float:
+def get_rate_limit(table: Table, service: str, account: str) -> float:
     """Return the requests per second of an account; 0 is no limit."""
     row = table.accounts.get(f"{service}/{account}")
     if row is not None:
--- a/src/wagtailstep/controllers/load_plan.py
+++ b/src/wagtailstep/controllers/load_plan.py
@@ -19,35 +19,38 @@
     """One request of a slice.
 
     :param at_s: when it arrives, in seconds since the slice began.
-    :param kind: what is asked for.
-    :param draw: chooses one of the daemons; from 0 to below 1.
-    :param loses_patience: whether its caller gives up early.
+    :param request_class: what is asked for.
+    :param daemon_draw: chooses one of the daemons; from 0 to below 1.
+    :param cancels_early: whether its caller gives up early.
     """
 
     at_s: float
-    kind: LoadClass
-    draw: float
-    loses_patience: bool
+    request_class: LoadClass
+    daemon_draw: float
+    cancels_early: bool
 
 
-def plan_slice(settings: LoadSettings, number: int) -> list[Arrival]:
+def plan_slice(settings: LoadSettings, slice_number: int) -> list[Arrival]:
     """Draw the arrivals of a slice; they depend on the seed and its number alone."""
-    rng = random.Random(f"{settings.seed}/{number}")
-    shares = [kind.share for kind in settings.classes]
-    most = find_highest_rate(settings.arrivals)
+    rng = random.Random(f"{settings.seed}/{slice_number}")
+    shares = [request_class.share for request_class in settings.classes]
+    max_rate = compute_max_rate(settings.arrivals)
     arrivals = []
-    at_s = rng.expovariate(most)
+    at_s = rng.expovariate(max_rate)
     while at_s < settings.slice_s:
         # Thinning: of arrivals at the highest rate as many are kept as the rate says.
-        if rng.random() * most < find_rate(settings.arrivals, at_s):
-            (kind,) = rng.choices(settings.classes, shares)
-            gives_up = bool(kind.give_up_ms) and rng.random() < kind.give_up_share
-            arrivals.append(Arrival(at_s, kind, rng.random(), gives_up))
-        at_s += rng.expovariate(most)
+        if rng.random() * max_rate < compute_rate(settings.arrivals, at_s):
+            (request_class,) = rng.choices(settings.classes, shares)
+            cancels_early = (
+                bool(request_class.give_up_ms)
+                and rng.random() < request_class.give_up_share
+            )
+            arrivals.append(Arrival(at_s, request_class, rng.random(), cancels_early))
+        at_s += rng.expovariate(max_rate)
     return arrivals
 
 
-def find_rate(arrivals: ArrivalSettings, at_s: float) -> float:
+def compute_rate(arrivals: ArrivalSettings, at_s: float) -> float:
     """Return the rate at a moment of a slice, in requests a second."""
     if arrivals.shape == WAVE:
         phase = 2 * math.pi * at_s / arrivals.period_s
@@ -59,7 +62,7 @@
     return arrivals.rate_per_s
 
 
-def find_highest_rate(arrivals: ArrivalSettings) -> float:
+def compute_max_rate(arrivals: ArrivalSettings) -> float:
     """Return the highest rate of a shape, in requests a second."""
     if arrivals.shape == WAVE:
         return arrivals.rate_per_s * (1 + arrivals.swing)
@@ -68,7 +71,7 @@
     return arrivals.rate_per_s
 
 
-def order_sides(settings: LoadSettings, number: int) -> list[int]:
+def order_sides(settings: LoadSettings, slice_number: int) -> list[int]:
     """Return the indices of the sides in the order in which a slice is played."""
     indices = list(range(len(settings.sides)))
-    return indices if number % 2 == 0 else indices[::-1]
+    return indices if slice_number % 2 == 0 else indices[::-1]
--- a/src/wagtailstep/controllers/request_memory.py
+++ b/src/wagtailstep/controllers/request_history.py
@@ -8,7 +8,7 @@
 
 # An entry trusts an answer about an attempt for much less than this.
 ENDED_RETENTION = timedelta(seconds=60)
-BARRED_RETENTION = timedelta(minutes=10)
+REVOKED_RETENTION = timedelta(minutes=10)
 
 
 class ExpiringSet:
@@ -23,26 +23,26 @@
         self.retention = retention
         self.added_at: OrderedDict[str, timedelta] = OrderedDict()
 
-    def __contains__(self, name: str) -> bool:
+    def __contains__(self, identifier: str) -> bool:
         """Tell whether an identifier is kept."""
-        return name in self.added_at
+        return identifier in self.added_at
 
-    def add(self, name: str) -> None:
+    def add(self, identifier: str) -> None:
         """Keep an identifier from now on, and forget the old ones."""
         now = self.clock.monotonic()
-        self.added_at[name] = now
-        self.added_at.move_to_end(name)
+        self.added_at[identifier] = now
+        self.added_at.move_to_end(identifier)
         oldest = next(iter(self.added_at))
         while now - self.added_at[oldest] > self.retention:
             del self.added_at[oldest]
             oldest = next(iter(self.added_at))
 
-    def discard(self, name: str) -> None:
+    def discard(self, identifier: str) -> None:
         """Forget an identifier, if it is kept."""
-        self.added_at.pop(name, None)
+        self.added_at.pop(identifier, None)
 
 
-class RequestMemory:
+class RequestHistory:
     """Attempts that a gate holds, ended or barred, and requests it won't run again.
 
     :param clock: source of monotonic time.
@@ -51,21 +51,21 @@
     def __init__(self, clock: Clock) -> None:
         self.held: set[str] = set()
         self.ended = ExpiringSet(clock, ENDED_RETENTION)
-        self.revoked = ExpiringSet(clock, BARRED_RETENTION)
-        self.accepted = ExpiringSet(clock, BARRED_RETENTION)
+        self.revoked = ExpiringSet(clock, REVOKED_RETENTION)
+        self.accepted = ExpiringSet(clock, REVOKED_RETENTION)
 
-    def accept(self, request: GateRequest) -> None:
+    def record_accepted(self, request: GateRequest) -> None:
         """Note a request that waits or runs from now on."""
         self.held.add(request.attempt_id)
         if not request.idempotent:
             self.accepted.add(request.request_id)
 
-    def end(self, request: GateRequest) -> None:
+    def record_ended(self, request: GateRequest) -> None:
         """Note that a request that was started has ended."""
         self.held.discard(request.attempt_id)
         self.ended.add(request.attempt_id)
 
-    def forget(self, request: GateRequest) -> None:
+    def discard_unstarted(self, request: GateRequest) -> None:
         """Forget a request that was certainly not started."""
         self.held.discard(request.attempt_id)
         self.accepted.discard(request.request_id)
--- a/src/wagtailstep/controllers/retries.py
+++ b/src/wagtailstep/controllers/retries.py
@@ -24,9 +24,9 @@
 MAX_LEAVING_ATTEMPTS = 8
 # Gates refuse in a few milliseconds; after as many refusals the service is full.
 MAX_UNSENT_ATTEMPTS = 6
-MAX_BUSY_ATTEMPTS = 3
+MAX_OVERLOADED_ATTEMPTS = 3
 # Before a daemon knows the others it takes itself for one of at least so many.
-FEWEST_DAEMONS = 16
+MIN_ASSUMED_DAEMONS = 16
 
 
 @attrs.define
@@ -40,7 +40,7 @@
 
 
 @attrs.define
-class Amounts:
+class WindowedSum:
     """Amounts with the time at which each was added.
 
     :param entries: monotonic time and amount, oldest first.
@@ -55,7 +55,7 @@
         self.entries.append((now, amount))
         self.total += amount
 
-    def forget_before(self, oldest: timedelta) -> None:
+    def expire_before(self, oldest: timedelta) -> None:
         """Take out what was added at ``oldest`` or before."""
         while self.entries and self.entries[0][0] <= oldest:
             self.total -= self.entries.popleft()[1]
@@ -83,64 +83,68 @@
         self.settings = settings
         self.clock = clock
         self.count_daemons = count_daemons
-        self.most_daemons = FEWEST_DAEMONS
+        self.max_daemon_count = MIN_ASSUMED_DAEMONS
         self.window = timedelta(milliseconds=settings.retry_window_ms)
-        self.requests: dict[str, Amounts] = {}
-        self.retries: dict[str, Amounts] = {}
-        self.calls: dict[str, dict[str, float]] = {}
+        self.requests: dict[str, WindowedSum] = {}
+        self.retries: dict[str, WindowedSum] = {}
+        self.calls_by_route: dict[str, dict[str, float]] = {}
 
-    def note_request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a request for a service."""
-        self.most_daemons = max(self.most_daemons, self.count_daemons())
-        self._recent(self.requests, service).add(1.0, self.clock.monotonic())
+        self.max_daemon_count = max(self.max_daemon_count, self.count_daemons())
+        self._get_window(self.requests, service).add(1.0, self.clock.monotonic())
 
-    def learn_calls(self, route: str, calls_per_run: dict[str, float]) -> None:
+    def record_calls(self, route: str, calls_per_run: dict[str, float]) -> None:
         """Note which calls a run of a route makes."""
-        self.calls[route] = calls_per_run
+        self.calls_by_route[route] = calls_per_run
 
-    def take(self, request: RequestContext) -> bool:
+    def try_acquire(self, request: RequestContext) -> bool:
         """Take one retry from the budget of a request's service if it has one.
 
         The calls that the repeated run makes again are taken from the budgets of the
         called services.
         """
-        costs = self.find_costs(request)
-        if not self.covers(costs):
+        costs = self.compute_costs(request)
+        if not self.can_afford(costs):
             return False
         now = self.clock.monotonic()
         for name, cost in costs.items():
-            self._recent(self.retries, name).add(cost, now)
+            self._get_window(self.retries, name).add(cost, now)
         return True
 
-    def has_room(self, request: RequestContext) -> bool:
+    def can_acquire(self, request: RequestContext) -> bool:
         """Tell whether a request may be sent again now."""
-        return self.covers(self.find_costs(request))
+        return self.can_afford(self.compute_costs(request))
 
-    def covers(self, costs: dict[str, float]) -> bool:
+    def can_afford(self, costs: dict[str, float]) -> bool:
         """Tell whether the budgets have room for some costs, by service."""
-        self.most_daemons = max(self.most_daemons, self.count_daemons())
-        return all(self.find_room(name) >= cost for name, cost in costs.items())
+        self.max_daemon_count = max(self.max_daemon_count, self.count_daemons())
+        return all(self.compute_remaining(name) >= cost for name, cost in costs.items())
 
-    def find_costs(self, request: RequestContext) -> dict[str, float]:
+    def compute_costs(self, request: RequestContext) -> dict[str, float]:
         """Return what one more run takes from the budgets, by service."""
         costs = {request.service: 1.0}
-        for called, ratio in self.calls.get(request.route, {}).items():
+        for called, ratio in self.calls_by_route.get(request.route, {}).items():
             costs[called] = costs.get(called, 0.0) + ratio
         return costs
 
-    def find_room(self, service: str) -> float:
+    def compute_remaining(self, service: str) -> float:
         """Return the retries that this daemon may still make for a service."""
-        allowed = self.settings.retry_ratio * self._recent(self.requests, service).total
-        allowed += self.settings.retry_slack / self.most_daemons
-        return allowed - self._recent(self.retries, service).total
+        allowed = (
+            self.settings.retry_ratio * self._get_window(self.requests, service).total
+        )
+        allowed += self.settings.retry_slack / self.max_daemon_count
+        return allowed - self._get_window(self.retries, service).total
 
-    def list_room(self) -> dict[str, float]:
+    def compute_remaining_by_service(self) -> dict[str, float]:
         """Return the retries that this daemon may still make, by service."""
-        return {service: self.find_room(service) for service in list(self.requests)}
+        return {
+            service: self.compute_remaining(service) for service in list(self.requests)
+        }
 
-    def _recent(self, counted: dict[str, Amounts], service: str) -> Amounts:
-        amounts = counted.setdefault(service, Amounts())
-        amounts.forget_before(self.clock.monotonic() - self.window)
+    def _get_window(self, counted: dict[str, WindowedSum], service: str) -> WindowedSum:
+        amounts = counted.setdefault(service, WindowedSum())
+        amounts.expire_before(self.clock.monotonic() - self.window)
         return amounts
 
 
@@ -155,21 +159,21 @@
     ) -> None:
         self.settings = settings
         self.clock = clock
-        self.shared = None
+        self.shared_budget = None
         if settings.retry_slack:
-            self.shared = SharedRetryBudget(settings, clock, count_daemons)
+            self.shared_budget = SharedRetryBudget(settings, clock, count_daemons)
         self.budgets: dict[str, RetryBudget] = {}
 
     def record_first_attempt(self, service: str) -> None:
         """Add a first attempt's share to the budget of its service."""
-        if self.shared is not None:
-            self.shared.note_request(service)
+        if self.shared_budget is not None:
+            self.shared_budget.record_request(service)
             return
-        budget = self.find_budget(service)
+        budget = self.get_budget(service)
         filled = budget.tokens + self.settings.retry_ratio
         budget.tokens = min(float(self.settings.retry_burst), filled)
 
-    def find_budget(self, service: str) -> RetryBudget:
+    def get_budget(self, service: str) -> RetryBudget:
         """Return the budget of a service; a new one starts full."""
         budget = self.budgets.get(service)
         if budget is None:
@@ -177,7 +181,7 @@
             self.budgets[service] = budget
         return budget
 
-    def take_retry(
+    def try_acquire_retry(
         self,
         request: RequestContext,
         error: RequestError,
@@ -193,65 +197,65 @@
         """
         if not error.verdict.allows_resend(request.idempotent):
             return False
-        if isinstance(error, BadRequestError) or not self.has_time(request):
+        if isinstance(error, BadRequestError) or not self.has_time_left(request):
             return False
         if isinstance(error, LeavingError):
             return attempts < MAX_LEAVING_ATTEMPTS
-        if self.shared is not None:
-            return self.take_shared(request, error, attempts, sent)
+        if self.shared_budget is not None:
+            return self.try_acquire_shared_retry(request, error, attempts, sent)
         if isinstance(error, OverloadedError) and attempts > 1:
             return False
         if attempts >= self.settings.max_attempts:
             return False
-        return self.take_token(request.service)
+        return self.try_acquire_token(request.service)
 
-    def take_shared(
+    def try_acquire_shared_retry(
         self, request: RequestContext, error: RequestError, attempts: int, sent: int
     ) -> bool:
         """Tell whether to send again within the budget of all daemons.
 
         What no backend server got costs nothing of the budget until one gets it.
         """
-        assert self.shared is not None
+        assert self.shared_budget is not None
         if attempts >= MAX_UNSENT_ATTEMPTS + sent:
             return False
-        if not self.has_attempts(request, sent):
+        if not self.has_attempts_left(request, sent):
             return False
-        if isinstance(error, OverloadedError) and attempts > MAX_BUSY_ATTEMPTS:
+        if isinstance(error, OverloadedError) and attempts > MAX_OVERLOADED_ATTEMPTS:
             return False
-        return not sent or self.shared.take(request)
+        return not sent or self.shared_budget.try_acquire(request)
 
-    def learn_calls(self, route: str, calls_per_run: dict[str, float]) -> None:
+    def record_calls(self, route: str, calls_per_run: dict[str, float]) -> None:
         """Note which calls a run of a route makes, and makes again if repeated."""
-        if self.shared is not None:
-            self.shared.learn_calls(route, calls_per_run)
+        if self.shared_budget is not None:
+            self.shared_budget.record_calls(route, calls_per_run)
 
-    def take_replacement(self, request: RequestContext, sent: int) -> bool:
+    def try_acquire_replacement(self, request: RequestContext, sent: int) -> bool:
         """Tell whether a failure that a backend server answered is to be replaced."""
-        if self.shared is None or not request.idempotent:
+        if self.shared_budget is None or not request.idempotent:
             return False
-        if not self.has_attempts(request, sent):
+        if not self.has_attempts_left(request, sent):
             return False
-        return self.has_time(request) and self.shared.take(request)
+        return self.has_time_left(request) and self.shared_budget.try_acquire(request)
 
-    def may_fail_once(self, request: RequestContext) -> bool:
+    def can_retry_failure(self, request: RequestContext) -> bool:
         """Tell whether the failure of a first attempt could be made good."""
-        if not request.idempotent or not self.has_attempts(request, 1):
+        if not request.idempotent or not self.has_attempts_left(request, 1):
             return False
-        return self.shared is None or self.shared.has_room(request)
+        return self.shared_budget is None or self.shared_budget.can_acquire(request)
 
-    def has_attempts(self, request: RequestContext, sent: int) -> bool:
+    def has_attempts_left(self, request: RequestContext, sent: int) -> bool:
         """Tell whether a request may be sent to one more backend server."""
         return sent < min(request.max_attempts, self.settings.max_attempts)
 
-    def has_time(self, request: RequestContext) -> bool:
+    def has_time_left(self, request: RequestContext) -> bool:
         """Tell whether enough time is left for another attempt."""
         left = request.deadline - self.clock.monotonic()
         return left.total_seconds() * 1_000 >= MIN_TIME_LEFT_MS
 
-    def take_token(self, service: str) -> bool:
+    def try_acquire_token(self, service: str) -> bool:
         """Take one retry from the budget of a service if it has one."""
-        budget = self.find_budget(service)
+        budget = self.get_budget(service)
         if budget.tokens < 1:
             return False
         budget.tokens -= 1
--- a/src/wagtailstep/controllers/route_split.py
+++ b/src/wagtailstep/controllers/route_split.py
@@ -28,7 +28,7 @@
             return parts[0].service
         credits = self.credits.get(route)
         if credits is None:
-            self.forget_replaced(route)
+            self.remove_replaced(route)
             credits = [self.rng.random() * part.weight for part in parts]
             self.credits[route] = credits
         for index, part in enumerate(parts):
@@ -37,7 +37,7 @@
         credits[chosen] -= total
         return parts[chosen].service
 
-    def forget_replaced(self, route: HostRoute) -> None:
+    def remove_replaced(self, route: HostRoute) -> None:
         """Forget an earlier version of a route."""
         for known in [known for known in self.credits if known.name == route.name]:
             del self.credits[known]
--- a/src/wagtailstep/controllers/routing.py
+++ b/src/wagtailstep/controllers/routing.py
@@ -32,20 +32,20 @@
 from wagtailstep.utils.clock import Clock
 
 MIN_RAMP = 0.05
-CHOICE_LIFETIME = timedelta(milliseconds=50)
+CANDIDATES_LIFETIME = timedelta(milliseconds=50)
 # Share of the idempotent requests that go to a doubted target while there is one. A
 # doubt by a mere chance failure then ends in a fraction of a second.
-PROBE_SHARE = 0.25
+DOUBTED_PROBE_RATIO = 0.25
 # Cost factors. A cold backend server takes about twice as long for its work; a
 # doubted one is likely to fail it, which costs a second attempt.
-STANDING_COST = {
+STANDING_COST_FACTORS = {
     TargetStanding.GOOD: 1.0,
     TargetStanding.WARMING: 2.0,
     TargetStanding.DOUBTED: 4.0,
     TargetStanding.FAILING: 16.0,
 }
 
-_IN_GOOD_STANDING = TargetHealth()
+_HEALTHY = TargetHealth()
 _USABLE_MEMBERS = frozenset({MemberState.ALIVE, MemberState.SUSPECT})
 
 
@@ -55,16 +55,16 @@
 
     :param target: the target.
     :param weight: its weight in the table.
-    :param share: its weight in use, smaller than ``weight`` during slow start.
+    :param effective_weight: weight in use; below ``weight`` during slow start.
     :param health: this daemon's judgement of it.
-    :param steered: whether that judgement was to avoid it.
+    :param is_avoided: whether that judgement was to avoid it.
     """
 
     target: Target
     weight: float
-    share: float
+    effective_weight: float
     health: TargetHealth
-    steered: bool
+    is_avoided: bool
 
     @property
     def is_doubted(self) -> bool:
@@ -72,33 +72,35 @@
         return self.target.standing is TargetStanding.DOUBTED
 
 
-class Choice:
+class CandidatePool:
     """The candidates of one service, ready for many draws.
 
     :param candidates: the candidates, at least one.
-    :param made: monotonic time when they were found.
+    :param created_at: monotonic time when they were found.
     :param doubted: targets that their gates doubt, for requests that may fail.
-    :param draw_shares: the shares by which candidates are drawn; none takes those of
+    :param draw_weights: the shares by which candidates are drawn; none takes those of
         the candidates.
     """
 
     def __init__(
         self,
         candidates: list[Candidate],
-        made: timedelta,
+        created_at: timedelta,
         doubted: Sequence[Candidate] = (),
-        draw_shares: Sequence[float] = (),
+        draw_weights: Sequence[float] = (),
     ) -> None:
         self.candidates = candidates
         self.doubted = doubted
-        self.made = made
-        shares = [c.share for c in candidates]
-        self.shares = list(itertools.accumulate(draw_shares or shares))
-        self.mean_share = sum(shares) / len(shares)
+        self.created_at = created_at
+        weights = [c.effective_weight for c in candidates]
+        self.cumulative_weights = list(itertools.accumulate(draw_weights or weights))
+        self.mean_weight = sum(weights) / len(weights)
 
     def draw(self, rng: random.Random) -> tuple[Candidate, Candidate]:
         """Draw two candidates, perhaps the same one twice, by their shares."""
-        first, second = rng.choices(self.candidates, cum_weights=self.shares, k=2)
+        first, second = rng.choices(
+            self.candidates, cum_weights=self.cumulative_weights, k=2
+        )
         return first, second
 
 
@@ -121,9 +123,9 @@
         self.blackboard = blackboard
         self.clock = clock
         self.rng = rng
-        self.choices: dict[str, Choice] = {}
-        self.accounts = AccountLimiter(settings.requests, clock)
-        self.wanted = WantedServices(blackboard, clock)
+        self.pools: dict[str, CandidatePool] = {}
+        self.account_limiter = AccountLimiter(settings.requests, clock)
+        self.requested_services = WantedServices(blackboard, clock)
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
@@ -132,7 +134,7 @@
 
     @handle.register
     def _(self, event: Tick) -> list[Any]:
-        self.wanted.expire()
+        self.requested_services.expire()
         return []
 
     def admit(self, request: RequestContext) -> None:
@@ -142,9 +144,9 @@
             account is reached; the request is not counted then.
         :raises NoTargetError: if its service is unknown and too many are wanted.
         """
-        self.wanted.note_request(request.service)
+        self.requested_services.note_request(request.service)
         check_concurrency(self.blackboard, request)
-        self.accounts.take(self.blackboard.table, request)
+        self.account_limiter.acquire_token(self.blackboard.table, request)
         in_flight = self.blackboard.in_flight
         _increment(in_flight.by_service, request.service)
         _increment(in_flight.by_route, f"{request.service}/{request.route}")
@@ -182,23 +184,23 @@
         if tried:
             return self.pick_untried(service, tried)
         while True:
-            choice = self.find_choice(service)
-            if choice.doubted and may_probe() and self.rng.random() < PROBE_SHARE:
-                first = second = self.rng.choice(choice.doubted)
+            pool = self.get_pool(service)
+            if pool.doubted and may_probe() and self.rng.random() < DOUBTED_PROBE_RATIO:
+                first = second = self.rng.choice(pool.doubted)
             else:
-                first, second = choice.draw(self.rng)
+                first, second = pool.draw(self.rng)
             if self.is_current(first) and self.is_current(second):
-                return self.cheaper(first, second, choice.mean_share).target
-            del self.choices[service]
+                return self.choose_cheaper(first, second, pool.mean_weight).target
+            del self.pools[service]
 
     def pick_untried(self, service: str, tried: Collection[str]) -> Target:
         """Pick a target that was not tried, or any one if all were."""
-        candidates = self.find_choice(service, fresh=True).candidates
+        candidates = self.get_pool(service, fresh=True).candidates
         untried = [c for c in candidates if c.target.target_id not in tried]
-        choice = Choice(untried or candidates, self.clock.monotonic())
-        return self.cheaper(*choice.draw(self.rng), choice.mean_share).target
+        pool = CandidatePool(untried or candidates, self.clock.monotonic())
+        return self.choose_cheaper(*pool.draw(self.rng), pool.mean_weight).target
 
-    def find_doubted(self, service: str, tried: Collection[str]) -> Target | None:
+    def pick_doubted(self, service: str, tried: Collection[str]) -> Target | None:
         """Return an untried target that its gate doubts, the least doubted first."""
         doubted = [
             c.target
@@ -211,39 +213,43 @@
         least = min(target.standing for target in doubted)
         return self.rng.choice([t for t in doubted if t.standing is least])
 
-    def find_choice(self, service: str, fresh: bool = False) -> Choice:
+    def get_pool(self, service: str, fresh: bool = False) -> CandidatePool:
         """Return the candidates of a service, as found not long ago.
 
         :param fresh: whether to look at the targets now.
         :raises NoTargetError: if no target may take new work.
         """
         now = self.clock.monotonic()
-        choice = self.choices.get(service)
-        if choice is not None and not fresh and now < choice.made + CHOICE_LIFETIME:
-            return choice
-        self.choices.pop(service, None)
+        pool = self.pools.get(service)
+        if (
+            pool is not None
+            and not fresh
+            and now < pool.created_at + CANDIDATES_LIFETIME
+        ):
+            return pool
+        self.pools.pop(service, None)
         candidates = self.find_candidates(service)
         if not candidates:
             raise NoTargetError(
                 f"no backend server of service {service!r} takes requests now; "
                 "come back after the time in Retry-After"
             )
-        usable = self.steer(service, candidates)
-        kept = leave_out_doubted(usable)
+        usable = self.exclude_avoided(service, candidates)
+        kept = exclude_doubted(usable)
         doubted = [c for c in usable if c.is_doubted and c not in kept]
-        shares = [self.find_draw_share(c) for c in kept]
-        choice = self.choices[service] = Choice(kept, now, doubted, shares)
-        return choice
+        weights = [self.compute_draw_weight(c) for c in kept]
+        pool = self.pools[service] = CandidatePool(kept, now, doubted, weights)
+        return pool
 
-    def find_draw_share(self, candidate: Candidate) -> float:
+    def compute_draw_weight(self, candidate: Candidate) -> float:
         """Return the share by which a candidate is drawn for a first attempt.
 
         Bytes between zones cost, so the own zone gets more than its part. A gate
         without a free slot says so at once, and further attempts look everywhere.
         """
         if candidate.target.availability_zone == self.settings.availability_zone:
-            return candidate.share
-        return candidate.share * self.settings.requests.other_zone_share
+            return candidate.effective_weight
+        return candidate.effective_weight * self.settings.requests.other_zone_share
 
     def is_current(self, candidate: Candidate) -> bool:
         """Tell whether a candidate found not long ago may still be picked."""
@@ -254,11 +260,11 @@
             return False
         if target.standing is not candidate.target.standing:
             return False
-        if target_id in board.ejected or not self.has_gate(target):
+        if target_id in board.ejected or not self.has_live_gate(target):
             return False
-        health = board.health.get(target_id, _IN_GOOD_STANDING)
-        same_standing = health.steer_away == candidate.steered
-        return same_standing and board.table.weight(target_id) == candidate.weight
+        health = board.health.get(target_id, _HEALTHY)
+        same_avoidance = health.steer_away == candidate.is_avoided
+        return same_avoidance and board.table.weight(target_id) == candidate.weight
 
     def find_candidates(self, service: str) -> list[Candidate]:
         """Return the targets that may take new work."""
@@ -268,66 +274,72 @@
             if target.state is not TargetState.SERVING or target_id in board.ejected:
                 continue
             weight = board.table.weight(target_id)
-            if weight <= 0 or not self.has_gate(target):
+            if weight <= 0 or not self.has_live_gate(target):
                 continue
-            health = board.health.get(target_id, _IN_GOOD_STANDING)
-            share = weight * max(health.ramp, MIN_RAMP)
-            steered = health.steer_away
-            found.append(Candidate(target, weight, share, health, steered))
+            health = board.health.get(target_id, _HEALTHY)
+            effective_weight = weight * max(health.ramp, MIN_RAMP)
+            is_avoided = health.steer_away
+            found.append(
+                Candidate(target, weight, effective_weight, health, is_avoided)
+            )
         return found
 
-    def has_gate(self, target: Target) -> bool:
+    def has_live_gate(self, target: Target) -> bool:
         """Tell whether the daemon beside a target is known and not gone."""
         member = self.blackboard.members.get(target.daemon_id)
         return member is not None and member.state in _USABLE_MEMBERS
 
-    def steer(self, service: str, candidates: list[Candidate]) -> list[Candidate]:
+    def exclude_avoided(
+        self, service: str, candidates: list[Candidate]
+    ) -> list[Candidate]:
         """Leave out targets in bad standing as far as the floor permits.
 
         :return: candidates with at least the floor's weight if there is so much,
             never none.
         """
-        kept = [c for c in candidates if not c.steered]
+        kept = [c for c in candidates if not c.is_avoided]
         if len(kept) == len(candidates):
             return candidates
         floor = self.blackboard.table.service_row(service).floor_weight
         weight = sum(c.weight for c in kept)
-        avoided = [c for c in candidates if c.steered]
-        for candidate in sorted(avoided, key=_standing):
+        avoided = [c for c in candidates if c.is_avoided]
+        for candidate in sorted(avoided, key=_avoidance_order):
             if kept and weight >= floor:
                 break
             kept.append(candidate)
             weight += candidate.weight
         return kept
 
-    def cheaper(
-        self, first: Candidate, second: Candidate, mean_share: float
+    def choose_cheaper(
+        self, first: Candidate, second: Candidate, mean_weight: float
     ) -> Candidate:
         """Return the cheaper one of two candidates, the first one if both cost alike.
 
-        :param mean_share: mean weight in use of all candidates.
+        :param mean_weight: mean weight in use of all candidates.
         """
         if first is second:
             return first
-        if self.cost(second, mean_share) < self.cost(first, mean_share):
+        if self.compute_cost(second, mean_weight) < self.compute_cost(
+            first, mean_weight
+        ):
             return second
         return first
 
-    def cost(self, candidate: Candidate, mean_share: float) -> float:
+    def compute_cost(self, candidate: Candidate, mean_weight: float) -> float:
         """Return the cost of picking a candidate; smaller is better.
 
-        :param mean_share: mean weight in use of all candidates; it makes a weight
+        :param mean_weight: mean weight in use of all candidates; it makes a weight
             count relative to the others.
         """
         target = candidate.target
         outstanding = self.blackboard.in_flight.by_target.get(target.target_id, 0)
-        cost = 1 + outstanding * mean_share / candidate.share
+        cost = 1 + outstanding * mean_weight / candidate.effective_weight
         if target.availability_zone != self.settings.availability_zone:
             cost *= self.settings.requests.other_zone_cost
-        return cost * candidate.health.penalty * STANDING_COST[target.standing]
+        return cost * candidate.health.penalty * STANDING_COST_FACTORS[target.standing]
 
 
-def leave_out_doubted(candidates: list[Candidate]) -> list[Candidate]:
+def exclude_doubted(candidates: list[Candidate]) -> list[Candidate]:
     """Leave out targets that their gates doubt, unless there is no better one.
 
     Gates judge by what fails at their own backend server, so that the others' work
@@ -341,7 +353,7 @@
     return candidates
 
 
-def _standing(candidate: Candidate) -> tuple[float, str]:
+def _avoidance_order(candidate: Candidate) -> tuple[float, str]:
     return candidate.health.penalty, candidate.target.target_id
 
 
--- a/src/wagtailstep/controllers/runs.py
+++ b/src/wagtailstep/controllers/runs.py
@@ -64,7 +64,7 @@
     def __init__(self, settings: RequestSettings) -> None:
         self.settings = settings
         self.by_id: OrderedDict[str, Run] = OrderedDict()
-        self.answered: OrderedDict[str, int] = OrderedDict()
+        self.answer_sizes: OrderedDict[str, int] = OrderedDict()
         self.answers_bytes = 0
 
     def find(self, run_id: str) -> Run | None:
@@ -79,16 +79,16 @@
             return
         idle = (r for r in self.by_id.values() if r.state is not RunState.RUNNING)
         for forgotten in list(itertools.islice(idle, excess)):
-            self.forget(forgotten.run_id)
+            self.remove(forgotten.run_id)
 
-    def forget(self, run_id: str) -> None:
+    def remove(self, run_id: str) -> None:
         """Drop a run and its answer, if they are remembered."""
         self.by_id.pop(run_id, None)
         self.drop_answer(run_id)
 
     def drop_answer(self, run_id: str) -> None:
         """Drop the kept answer of a run, if there is one."""
-        self.answers_bytes -= self.answered.pop(run_id, 0)
+        self.answers_bytes -= self.answer_sizes.pop(run_id, 0)
         run = self.by_id.get(run_id)
         if run is not None:
             run.answer = None
@@ -100,7 +100,7 @@
         :param fingerprint: digest of that request.
         """
         if run.fingerprint and run.fingerprint != fingerprint:
-            return Refuse(make_mismatch_error())
+            return Refuse(build_key_mismatch_error())
         if run.state is RunState.READY:
             run.state = RunState.RUNNING
             run.fingerprint = fingerprint
@@ -123,21 +123,21 @@
         """
         run.state = _STATE_AFTER[verdict]
         if answer is not None and verdict is Verdict.RUN:
-            self.keep_answer(run, answer)
+            self.store_answer(run, answer)
         waiting, run.waiting = run.waiting, []
         return [
             RequestDecided(request_id, self.start(run, request_id, run.fingerprint))
             for request_id in waiting
         ]
 
-    def keep_answer(self, run: Run, answer: StoredAnswer) -> None:
+    def store_answer(self, run: Run, answer: StoredAnswer) -> None:
         """Keep an answer, dropping the oldest kept ones where needed."""
-        size = measure_answer(answer)
+        size = compute_answer_size(answer)
         run.answer = answer
-        self.answered[run.run_id] = size
+        self.answer_sizes[run.run_id] = size
         self.answers_bytes += size
         while self.answers_bytes > self.settings.answers_kept_bytes:
-            self.drop_answer(next(iter(self.answered)))
+            self.drop_answer(next(iter(self.answer_sizes)))
 
 
 _STATE_AFTER = {
@@ -159,10 +159,10 @@
                 Verdict.RUN,
             )
         )
-    return Refuse(make_unknown_error("an earlier sending of it broke off"))
+    return Refuse(build_unknown_outcome_error("an earlier sending of it broke off"))
 
 
-def make_unknown_error(cause: str) -> DuplicateRequestError:
+def build_unknown_outcome_error(cause: str) -> DuplicateRequestError:
     """Make the error for a keyed request of which nobody knows if it has run.
 
     :param cause: what is the matter, as a clause.
@@ -174,7 +174,7 @@
     )
 
 
-def make_mismatch_error() -> BadRequestError:
+def build_key_mismatch_error() -> BadRequestError:
     """Make the error for a key that was used for another request."""
     return BadRequestError(
         "this Idempotency-Key was used for another method, path, client account or "
@@ -183,7 +183,7 @@
     )
 
 
-def measure_answer(answer: StoredAnswer) -> int:
+def compute_answer_size(answer: StoredAnswer) -> int:
     """Return the size of an answer in bytes, headers included."""
     headers = sum(len(name) + len(value) for name, value in answer.headers)
     return headers + len(answer.body)
--- a/src/wagtailstep/controllers/target_queue.py
+++ b/src/wagtailstep/controllers/target_queue.py
@@ -11,7 +11,7 @@
 
 # Share of a request's aim after which it is due. 0 is the order of arrival and 1 that
 # of the aims, which makes long requests late; docs/design/queueing.md has the figures.
-DUE_SHARE = 0.75
+DUE_TIME_RATIO = 0.75
 
 
 @attrs.define
@@ -20,12 +20,12 @@
 
     :param request: the request.
     :param started_at: monotonic time when it was sent.
-    :param beside: most other requests that ran at the same time.
+    :param concurrent_others: most other requests that ran at the same time.
     """
 
     request: GateRequest
     started_at: timedelta
-    beside: int
+    concurrent_others: int
 
 
 @attrs.define
@@ -44,28 +44,30 @@
     @property
     def has_free_slot(self) -> bool:
         """Tell whether one more request may run now."""
-        return len(self.running) < self.limit.whole
+        return len(self.running) < self.limit.max_running
 
     @property
     def load(self) -> float:
         """Return running and waiting requests per request that may run."""
-        return (len(self.running) + len(self.waiting)) / self.limit.whole
+        return (len(self.running) + len(self.waiting)) / self.limit.max_running
 
-    def time_of(self, request: GateRequest) -> timedelta:
+    def expected_duration(self, request: GateRequest) -> timedelta:
         """Return the time that a request is expected to take."""
         return self.limit.typical_time(request.route)
 
-    def has_waiting_before(self, request: GateRequest) -> bool:
+    def has_earlier_waiting(self, request: GateRequest) -> bool:
         """Tell whether a request waits that goes before a new one."""
-        order = find_order(request)
-        return any(find_order(other) <= order for other in self.waiting.values())
+        order = compute_order(request)
+        return any(compute_order(other) <= order for other in self.waiting.values())
 
-    def take_next(self) -> tuple[int, GateRequest]:
+    def pop_next(self) -> tuple[int, GateRequest]:
         """Take the first request out of the queue."""
-        serial = min(self.waiting, key=lambda name: find_order(self.waiting[name]))
+        serial = min(
+            self.waiting, key=lambda serial: compute_order(self.waiting[serial])
+        )
         return serial, self.waiting.pop(serial)
 
-    def expected_wait(self, now: timedelta, request: GateRequest) -> timedelta:
+    def estimate_wait(self, now: timedelta, request: GateRequest) -> timedelta:
         """Return how long a request that joins the queue now will wait for a slot.
 
         Requests that it goes before are passed.
@@ -74,30 +76,30 @@
         one long request does not make a queue long whose other slots move on.
         """
         free_after = sorted(
-            self.time_left_of(entry, now) for entry in self.running.values()
+            self.estimate_time_left(running, now) for running in self.running.values()
         )
         # With more running than allowed, the first to end free no slot.
-        free_after = free_after[max(0, len(free_after) - self.limit.whole) :]
-        if len(free_after) < self.limit.whole:
+        free_after = free_after[max(0, len(free_after) - self.limit.max_running) :]
+        if len(free_after) < self.limit.max_running:
             free_after.insert(0, timedelta())
-        order = find_order(request)
+        order = compute_order(request)
         for other in self.waiting.values():
-            if find_order(other) > order:
+            if compute_order(other) > order:
                 continue
             start = free_after[0]
-            heapq.heapreplace(free_after, start + self.time_of(other))
+            heapq.heapreplace(free_after, start + self.expected_duration(other))
         return free_after[0]
 
-    def time_left_of(self, entry: RunningRequest, now: timedelta) -> timedelta:
+    def estimate_time_left(self, running: RunningRequest, now: timedelta) -> timedelta:
         """Return the time until a running request is expected to end.
 
         One that takes longer than usual is expected to take half as long again.
         """
-        usual = self.time_of(entry.request)
-        return max(usual - (now - entry.started_at), usual / 2)
+        expected = self.expected_duration(running.request)
+        return max(expected - (now - running.started_at), expected / 2)
 
 
-def find_order(request: GateRequest) -> tuple[int, timedelta]:
+def compute_order(request: GateRequest) -> tuple[int, timedelta]:
     """Return what a queue is ordered by: rank, then the time by which it is due.
 
     Requests whose use ends soon are mostly short ones. If they go first, more are
@@ -105,4 +107,4 @@
     """
     useful_until = request.aim_at or request.deadline
     useful_for = useful_until - request.arrived_at
-    return request.priority, request.arrived_at + DUE_SHARE * useful_for
+    return request.priority, request.arrived_at + DUE_TIME_RATIO * useful_for
--- a/src/wagtailstep/controllers/tickets.py
+++ b/src/wagtailstep/controllers/tickets.py
@@ -10,7 +10,7 @@
     Run,
     RunState,
     RunStore,
-    make_unknown_error,
+    build_unknown_outcome_error,
 )
 from wagtailstep.exceptions import BadRequestError, LeavingError
 from wagtailstep.models.blackboard import Blackboard
@@ -23,9 +23,9 @@
 
 SERIAL_BITS = 128
 
-TICKET_GRACE = timedelta(seconds=10)
+UNUSED_TICKET_GRACE = timedelta(seconds=10)
 
-_GONE = frozenset({MemberState.DEAD})
+_DEAD_STATES = frozenset({MemberState.DEAD})
 _OPEN_STATES = frozenset({RunState.READY, RunState.RUNNING})
 
 
@@ -34,11 +34,11 @@
     """When a ticket was issued.
 
     :param run_id: the ticket.
-    :param time: monotonic time.
+    :param issued_at: monotonic time.
     """
 
     run_id: str
-    time: timedelta
+    issued_at: timedelta
 
 
 class TicketIssuer:
@@ -81,11 +81,11 @@
         """Tell whether a ticket issued lately has not been used.
 
         A daemon that exits then makes its caller's request end as "may have run", so
-        a graceful shutdown waits for a while; see ``TICKET_GRACE``.
+        a graceful shutdown waits for a while; see ``UNUSED_TICKET_GRACE``.
         """
-        oldest = self.clock.monotonic() - TICKET_GRACE
+        oldest = self.clock.monotonic() - UNUSED_TICKET_GRACE
         for issued in reversed(self.issued):
-            if issued.time < oldest:
+            if issued.issued_at < oldest:
                 return False
             run = self.runs.find(issued.run_id)
             if run is not None and run.state in _OPEN_STATES:
@@ -100,21 +100,27 @@
         :param fingerprint: digest of the request.
         """
         if ticket.daemon_id == self.blackboard.this_member.daemon_id:
-            return self.decide_own(ticket, request, fingerprint)
+            return self.decide_local(ticket, request, fingerprint)
         if request.relayed:
-            return Refuse(make_unknown_error("it was passed to the wrong daemon"))
+            return Refuse(
+                build_unknown_outcome_error("it was passed to the wrong daemon")
+            )
         issuer = self.blackboard.members.get(ticket.daemon_id)
-        if issuer is None or issuer.state in _GONE:
-            return Refuse(make_unknown_error("the issuer of its ticket is gone"))
+        if issuer is None or issuer.state in _DEAD_STATES:
+            return Refuse(
+                build_unknown_outcome_error("the issuer of its ticket is gone")
+            )
         return PassOn(ticket.daemon_id)
 
-    def decide_own(
+    def decide_local(
         self, ticket: Ticket, request: RequestContext, fingerprint: str
     ) -> Decision:
         """Decide about a request whose ticket names this daemon."""
         run = self.runs.find(str(ticket))
         if run is None:
-            return Refuse(make_unknown_error("the issuer has forgotten its ticket"))
+            return Refuse(
+                build_unknown_outcome_error("the issuer has forgotten its ticket")
+            )
         if run.service != request.service:
             return Refuse(
                 BadRequestError(
--- a/src/wagtailstep/models/idempotency.py
+++ b/src/wagtailstep/models/idempotency.py
@@ -63,7 +63,7 @@
 class RunHere:
     """Decision: this daemon runs the request now, and nobody else does.
 
-    :param run_id: name of the run, for ``DuplicateGuard.finish``.
+    :param run_id: name of the run, for ``DuplicateGuard.finish_run``.
     """
 
     run_id: str
--- a/src/wagtailstep/network/daemon.py
+++ b/src/wagtailstep/network/daemon.py
@@ -139,10 +139,12 @@
             apply=self.runtime.apply_all,
         )
         self.runtime.listeners[RequestDecided] = self.entry.settle
-        shared = self.entry.sender.retries.shared
+        shared = self.entry.sender.retries.shared_budget
         if shared is not None:
             self.metrics.watch_services(
-                "wagtailstep.retries.room", "{retry}", shared.list_room
+                "wagtailstep.retries.room",
+                "{retry}",
+                shared.compute_remaining_by_service,
             )
 
     def build_servers(self) -> None:
--- a/src/wagtailstep/network/entry.py
+++ b/src/wagtailstep/network/entry.py
@@ -16,7 +16,7 @@
 from wagtailstep.controllers.guard import DuplicateGuard
 from wagtailstep.controllers.retries import RetryPolicy
 from wagtailstep.controllers.routing import RoutingController
-from wagtailstep.controllers.runs import make_unknown_error
+from wagtailstep.controllers.runs import build_unknown_outcome_error
 from wagtailstep.exceptions import DeadlineExceededError, RequestError
 from wagtailstep.models import headers
 from wagtailstep.models.blackboard import Blackboard
@@ -192,7 +192,7 @@
         known = (
             not request.guarded
             or request.first_sending
-            or self.guard.knows_not_run(request)
+            or self.guard.is_known_not_run(request)
         )
         if error.verdict is Verdict.NOT_RUN and not known:
             error.verdict = Verdict.MAY_HAVE_RUN
@@ -207,7 +207,7 @@
         body_start = await self.within_deadline(exchange, exchange.body.prefetch())
         length = find_header(exchange.incoming.headers, "content-length") or ""
         fingerprint = digest_request(request, body_start, length)
-        outcome = self.guard.begin(request, fingerprint)
+        outcome = self.guard.decide_request(request, fingerprint)
         decision = outcome.decision
         if isinstance(decision, Wait):
             decision = await self.wait_for_decision(request, outcome.effects)
@@ -268,14 +268,14 @@
         The decision may have come in the same step as the cancellation.
         """
         if self.undecided.pop(request.request_id, None) is not None:
-            self.guard.abandon(request)
+            self.guard.cancel_wait(request)
         elif future.done() and not future.cancelled():
             self.decline(future.result())
 
     def decline(self, decision: Decision) -> None:
         """Give back the right to run a request that nobody waits for."""
         if isinstance(decision, RunHere):
-            self.apply(self.guard.finish(decision.run_id, Verdict.NOT_RUN))
+            self.apply(self.guard.finish_run(decision.run_id, Verdict.NOT_RUN))
 
     @singledispatchmethod
     async def follow(self, decision: Decision, exchange: Exchange) -> Answer:
@@ -300,14 +300,14 @@
     async def _(self, decision: PassOn, exchange: Exchange) -> Answer:
         member = self.blackboard.members.get(decision.daemon_id)
         if member is None:
-            raise make_unknown_error("the daemon that may run it is gone")
+            raise build_unknown_outcome_error("the daemon that may run it is gone")
         answer = await self.pass_on(exchange, member)
         return self.track(answer, lambda verdict, _: exchange.release())
 
     @follow.register
     async def _(self, decision: RunHere, exchange: Exchange) -> Answer:
         exchange.on_end = lambda verdict, answer: self.apply(
-            self.guard.finish(decision.run_id, verdict, answer)
+            self.guard.finish_run(decision.run_id, verdict, answer)
         )
         try:
             return await self.keep_answer(await self.sender.run(exchange), exchange)
@@ -332,7 +332,7 @@
                 return await self.pass_on_once(exchange, member)
             except (RequestError, TimeoutError) as error:
                 if attempts_left == 0 or not exchange.body.replayable:
-                    raise make_unknown_error(
+                    raise build_unknown_outcome_error(
                         f"daemon {member.daemon_id} may know, but can't be reached"
                     ) from error
 
--- a/src/wagtailstep/network/load_player.py
+++ b/src/wagtailstep/network/load_player.py
@@ -82,7 +82,11 @@
                 wait = due - self.clock.monotonic()
                 await asyncio.sleep(max(0.0, wait.total_seconds()))
                 is_measured = arrival.at_s >= self.settings.warmup_s
-                result = results[arrival.kind.name] if is_measured else ClassResult()
+                result = (
+                    results[arrival.request_class.name]
+                    if is_measured
+                    else ClassResult()
+                )
                 group.create_task(self.ask(arrival, index, due, result))
         return results
 
@@ -95,9 +99,9 @@
         :param result: where it is counted.
         """
         result.asked += 1
-        kind = arrival.kind
+        kind = arrival.request_class
         patience = None
-        if arrival.loses_patience:
+        if arrival.cancels_early:
             patience = kind.give_up_ms / 1_000
         try:
             async with asyncio.timeout(patience):
@@ -115,9 +119,9 @@
 
     async def send_with_retries(self, arrival: Arrival, index: int) -> Reply:
         """Send a request, and again after refusals, as often as its class says."""
-        kind = arrival.kind
+        kind = arrival.request_class
         addresses = self.settings.sides[index].addresses
-        address = addresses[int(arrival.draw * len(addresses))]
+        address = addresses[int(arrival.daemon_draw * len(addresses))]
         reply = await self.send(address, kind)
         for _ in range(kind.retries):
             if reply.status not in REFUSALS:
--- a/src/wagtailstep/network/sender.py
+++ b/src/wagtailstep/network/sender.py
@@ -9,7 +9,10 @@
 
 import attrs
 
-from wagtailstep.controllers.patience import RecentRefusals, find_patience
+from wagtailstep.controllers.attempt_timeout import (
+    RecentRefusals,
+    compute_attempt_timeout,
+)
 from wagtailstep.controllers.retries import RetryPolicy
 from wagtailstep.controllers.routing import RoutingController
 from wagtailstep.exceptions import (
@@ -112,14 +115,14 @@
             return True
         if not is_full_gate(error):
             return False
-        self.refusals.note(exchange.request.service)
+        self.refusals.record_refusal(exchange.request.service)
         return self.take_last_resort(exchange)
 
     def may_resend(self, exchange: Exchange, error: RequestError) -> bool:
         """Tell whether a request is sent again after an attempt without an answer."""
         if isinstance(error, AttemptAbandonedError):
             return True
-        return exchange.body.replayable and self.retries.take_retry(
+        return exchange.body.replayable and self.retries.try_acquire_retry(
             exchange.request, error, exchange.attempts, exchange.sent
         )
 
@@ -135,10 +138,12 @@
             return False
         if not request.idempotent or not exchange.body.replayable:
             return False
-        target = self.routing.find_doubted(request.service, exchange.tried)
-        if target is None or not self.retries.has_time(request):
+        target = self.routing.pick_doubted(request.service, exchange.tried)
+        if target is None or not self.retries.has_time_left(request):
             return False
-        if exchange.sent and not self.retries.take_replacement(request, exchange.sent):
+        if exchange.sent and not self.retries.try_acquire_replacement(
+            request, exchange.sent
+        ):
             return False
         exchange.last_resort = target
         return True
@@ -153,13 +158,13 @@
             return False
         if find_header(answer.headers, CALL_REFUSED) is not None:
             return False
-        return self.retries.take_replacement(exchange.request, exchange.sent)
+        return self.retries.try_acquire_replacement(exchange.request, exchange.sent)
 
     def learn_calls(self, route: str, answer: Answer) -> None:
         """Take what the gate says of the calls that a run makes."""
         text = find_header(answer.headers, CALLS)
         if text is not None:
-            self.retries.learn_calls(route, read_calls(text))
+            self.retries.record_calls(route, read_calls(text))
 
     def note_end(
         self, exchange: Exchange, outcome: str, target: Target | None = None
@@ -215,7 +220,7 @@
                 return resort
             if len(exchange.waits) >= GATES_ASKED:
                 return self.pick_shortest(exchange)
-            may_probe = functools.partial(self.retries.may_fail_once, request)
+            may_probe = functools.partial(self.retries.can_retry_failure, request)
             return self.routing.pick(request.service, exchange.tried, may_probe)
         except RequestError as error:
             exchange.cover(error)
@@ -239,13 +244,13 @@
         Before it does, a few gates are asked for a free slot, which one of them has
         unless nearly all are taken.
         """
-        if self.retries.shared is None or target.target_id in exchange.waits:
+        if self.retries.shared_budget is None or target.target_id in exchange.waits:
             return True
         return len(exchange.waits) >= GATES_ASKED
 
     async def wait_for_discovery(self, request: RequestContext) -> None:
         """Give the targets of a service that is new here a moment to get known."""
-        while self.routing.wanted.is_being_discovered(request.service):
+        while self.routing.requested_services.is_being_discovered(request.service):
             if self.time_left(request) < DISCOVERY_INTERVAL:
                 return
             await asyncio.sleep(DISCOVERY_INTERVAL.total_seconds())
@@ -344,7 +349,7 @@
         """Have an attempt that takes too long ended before its deadline."""
         health = self.blackboard.health.get(target.target_id)
         usual = health.latency if health is not None else None
-        patience = find_patience(exchange.request, time_left, usual)
+        patience = compute_attempt_timeout(exchange.request, time_left, usual)
         if patience is None:
             return None
         loop = asyncio.get_running_loop()
@@ -357,10 +362,10 @@
         attempt may be refused, and then the work was broken off in vain.
         """
         service = exchange.request.service
-        if self.blackboard.draining or self.refusals.are_recent(service):
+        if self.blackboard.draining or self.refusals.has_recent(service):
             return
         is_replayable = exchange.body.replayable
-        if is_replayable and self.retries.take_replacement(
+        if is_replayable and self.retries.try_acquire_replacement(
             exchange.request, exchange.sent + 1
         ):
             exchange.abandoned = True
