--- a/src/wagtailstep/controllers/attempt_timeout.py
+++ b/src/wagtailstep/controllers/attempt_timeout.py
@@ -1,22 +1,22 @@
-"""When an attempt that takes long is broken off for another one."""
+"""Timeout after which a slow attempt is cancelled and replaced by another one."""
 
 from datetime import timedelta
 
 from wagtailstep.models.request import RequestContext
 from wagtailstep.utils.clock import Clock
 
-# An attempt is replaced after this share of the aim, so that the next one can still be
-# answered within it, but not before it takes this many times as long as usual.
+# An attempt times out after this fraction of the aim, so that the next one can still
+# be answered within it, but not before this multiple of the typical latency.
 ATTEMPT_TIMEOUT_FRACTION = 0.6
 TYPICAL_LATENCY_FACTOR = 3.0
-# About as long as the work that holds the slots takes, with some to spare.
+# Somewhat longer than the requests that occupy the slots usually take.
 REFUSAL_RETENTION = timedelta(seconds=1)
 
 
 class RecentRefusals:
-    """Services whose slots were all taken a moment ago.
+    """Services that recently refused a request for lack of a free slot.
 
-    :param clock: ages the refusals.
+    :param clock: source of monotonic time.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -24,11 +24,11 @@
         self.refused_at: dict[str, timedelta] = {}
 
     def record_refusal(self, service: str) -> None:
-        """Note that a request found no slot."""
+        """Record that a request for a service found no free slot."""
         self.refused_at[service] = self.clock.monotonic()
 
     def has_recent(self, service: str) -> bool:
-        """Tell whether a request for a service found no slot just now."""
+        """Return whether a request for a service recently found no free slot."""
         refused_at = self.refused_at.get(service)
         if refused_at is None:
             return False
@@ -38,10 +38,11 @@
 def compute_attempt_timeout(
     request: RequestContext, time_left: timedelta, typical_latency: timedelta | None
 ) -> timedelta | None:
-    """Return how long an attempt may take before another one is worth more.
+    """Return how long an attempt may take before it is replaced by another one.
 
-    :param typical_latency: usual latency at the target, if known.
-    :return: ``None`` if the request may not be sent twice, or has no aim.
+    :param typical_latency: typical latency at the target, if known.
+    :return: ``None`` if the request is not idempotent or has no aim, or if too little
+        time would be left for another attempt.
     """
     if not request.idempotent or not request.aim:
         return None
--- a/src/wagtailstep/controllers/claim_appends.py
+++ b/src/wagtailstep/controllers/claim_appends.py
@@ -1,4 +1,4 @@
-"""Batched appends to one claims stream, at most one under way at a time."""
+"""Batched appends to one claims stream, with at most one append in flight."""
 
 import random
 from datetime import timedelta
@@ -15,19 +15,19 @@
 
 @attrs.define
 class ClaimAppender:
-    """The entries that wait for their append.
+    """Queue of the claim entries that this daemon appends to one stream.
 
-    While one append is under way further entries gather, so that a busy daemon
-    makes few appends with many entries each.
+    Entries that are added while an append is in flight are batched into the next
+    one, so that a busy daemon makes few appends with many entries each.
 
-    :param stream: name of the stream.
+    :param stream: name of the log stream.
     :param daemon_id: this daemon.
-    :param boot_id: this run of its process.
-    :param rng: makes the identifiers of appends.
-    :param queue: entries to append, in order.
-    :param in_flight_entries: entries of the append under way.
-    :param append_id: identifier of the append under way, or an empty string.
-    :param not_before: monotonic time before which nothing is appended.
+    :param boot_id: identifies this run of the daemon's process.
+    :param rng: generates the identifiers of appends.
+    :param queue: entries that have not been sent, in order.
+    :param in_flight_entries: entries of the append in flight.
+    :param append_id: identifier of the append in flight; empty if there is none.
+    :param not_before: monotonic time of the earliest next append, after a failure.
     """
 
     stream: str
@@ -40,15 +40,15 @@
     not_before: timedelta = timedelta()
 
     def add(self, entry: ClaimEntry) -> None:
-        """Put an entry behind all others."""
+        """Add an entry to the end of the queue."""
         self.queue.append(entry)
 
     def remove_queued(self, entry: ClaimEntry) -> None:
-        """Drop the copies of an entry that have not been sent."""
+        """Remove all copies of an entry that have not been sent."""
         self.queue = [e for e in self.queue if e != entry]
 
     def flush(self, now: timedelta) -> list[AppendToLog]:
-        """Start an append if there is something to append and none under way.
+        """Start an append if entries are queued and no append is in flight.
 
         :param now: monotonic time.
         """
@@ -63,10 +63,10 @@
     def complete_append(
         self, event: LogAppendSettled, now: timedelta
     ) -> tuple[ClaimEntry, ...]:
-        """Take the end of the append under way.
+        """Handle the end of the append in flight.
 
         :param now: monotonic time.
-        :return: its entries if it was not acknowledged, else nothing.
+        :return: its entries if it was not acknowledged, else an empty tuple.
         """
         entries, self.in_flight_entries, self.append_id = self.in_flight_entries, (), ""
         if event.offset is not None:
@@ -75,5 +75,5 @@
         return entries
 
     def requeue(self, entries: list[ClaimEntry]) -> None:
-        """Put entries that may not have been appended before all others."""
+        """Put entries that may not have been appended at the head of the queue."""
         self.queue[:0] = entries
--- a/src/wagtailstep/controllers/claim_errors.py
+++ b/src/wagtailstep/controllers/claim_errors.py
@@ -1,4 +1,4 @@
-"""Refusals of requests with plain idempotency keys."""
+"""Errors for requests with plain idempotency keys that this daemon refuses."""
 
 from datetime import timedelta
 
@@ -12,16 +12,18 @@
 
 
 def build_log_gap_error(request: RequestContext) -> RequestError:
-    """Make the refusal of a request whose claim may lie in a gap of the log."""
-    return build_unknown_outcome_error("the log forgot records before they were read")
+    """Return the error for a request whose claim may be among expired records."""
+    return build_unknown_outcome_error(
+        "the log expired records before this daemon had read them"
+    )
 
 
 def build_log_unavailable_error(request: RequestContext) -> RequestError:
-    """Make the refusal of a keyed request that can't be claimed now."""
+    """Return the error for a keyed request while the log can't take its claim."""
     error = RequestError(
-        "the log service is away, so nobody can tell whether this Idempotency-Key "
-        "was used; this sending was not run; come back with the same key after the "
-        "time in Retry-After, or use a ticket",
+        "the log service is unavailable, so it is unknown whether this "
+        "Idempotency-Key was used before; this attempt was not executed; retry with "
+        "the same key after the time in Retry-After, or use a ticket",
         refusal_verdict(request),
         SERVICE_UNAVAILABLE,
         CLAIM_RETRY_AFTER,
@@ -31,10 +33,10 @@
 
 
 def build_claim_capacity_error(request: RequestContext) -> RequestError:
-    """Make the refusal of a plain key when there is no room to remember more."""
+    """Return the error for a plain key when the limit of stored claims is reached."""
     error = RequestError(
-        "more keys were claimed than this daemon can remember; this sending was not "
-        "run; use a ticket",
+        "this daemon can't store any more claimed idempotency keys; this attempt was "
+        "not executed; use a ticket",
         refusal_verdict(request),
         SERVICE_UNAVAILABLE,
         CLAIM_RETRY_AFTER,
@@ -44,9 +46,9 @@
 
 
 def refusal_verdict(request: RequestContext) -> Verdict:
-    """Return the verdict on a keyed request that this daemon did not run.
+    """Return the verdict for a keyed request that this daemon did not execute.
 
-    An earlier sending may have run elsewhere, unless the caller says that there
-    was none.
+    An earlier attempt may have run at another daemon, unless the caller states that
+    this is the first one.
     """
     return Verdict.NOT_RUN if request.first_sending else Verdict.MAY_HAVE_RUN
--- a/src/wagtailstep/controllers/claim_fold.py
+++ b/src/wagtailstep/controllers/claim_fold.py
@@ -1,6 +1,6 @@
-"""The fold of a claims stream: which claim holds each key.
+"""State rebuilt from a claims stream: which claim holds each key.
 
-Every daemon folds the same records in the same order and so finds the same holders.
+Every daemon applies the same records in the same order and so gets the same holders.
 """
 
 import sys
@@ -14,9 +14,9 @@
 
 @attrs.define
 class ClaimCapacity:
-    """Room for claims, shared by all services of a daemon.
+    """Limit on stored claims, shared by all services of a daemon.
 
-    :param remaining: number of further claims that can be remembered.
+    :param remaining: number of further claims that can be stored.
     """
 
     remaining: int
@@ -25,10 +25,10 @@
 class ClaimFold:
     """The holders of one service's keys, in bounded memory.
 
-    When there is no room for another key the fold is incomplete until all records
-    that it left out have expired; an incomplete fold must decide nothing.
+    A claim that exceeds the capacity is skipped. The fold is then incomplete until
+    all skipped records have expired, and nothing may be decided by it meanwhile.
 
-    :param capacity: number of keys that can be remembered.
+    :param capacity: number of keys that can be stored.
     :param retention: how long the log keeps a record.
     """
 
@@ -39,18 +39,18 @@
         self.incomplete_until = timedelta()
 
     def find_holder(self, key: bytes) -> ClaimHolder | None:
-        """Return who holds a key, or ``None``."""
+        """Return the holder of a key, or ``None``."""
         return self.claims.get(key)
 
     def is_complete(self, now: timedelta) -> bool:
-        """Tell whether no record was left out that the log still keeps.
+        """Return whether no skipped record is still in the log.
 
         :param now: monotonic time.
         """
         return now >= self.incomplete_until
 
     def apply(self, batch: ClaimBatch, entry: ClaimEntry, now: timedelta) -> None:
-        """Take the next entry of the stream.
+        """Apply the next entry of the stream.
 
         :param now: monotonic time when it was read.
         """
@@ -67,12 +67,12 @@
             self.incomplete_until = expires
             return
         self.capacity.remaining -= 1
-        # Few daemons make all the claims, so their names are kept once.
+        # All claims come from few daemons, so each identifier is stored only once.
         daemon_id, boot_id = sys.intern(batch.daemon_id), sys.intern(batch.boot_id)
         self.claims[entry.key] = ClaimHolder(entry.serial, daemon_id, boot_id, expires)
 
     def remove_expired(self, now: timedelta) -> None:
-        """Forget claims that the log has forgotten.
+        """Remove the claims whose records the log has expired.
 
         :param now: monotonic time.
         """
@@ -83,19 +83,19 @@
             self.remove(key)
 
     def remove(self, key: bytes) -> None:
-        """Forget the claim that holds a key."""
+        """Remove the claim that holds a key."""
         del self.claims[key]
         self.capacity.remaining += 1
 
     def clear(self) -> None:
-        """Forget all claims, because newer records than these have expired."""
+        """Remove all claims, because records newer than theirs have expired."""
         self.capacity.remaining += len(self.claims)
         self.claims.clear()
 
 
 def matches_claim(holder: ClaimHolder, boot_id: str, entry: ClaimEntry) -> bool:
-    """Tell whether a key is held by a certain claim.
+    """Return whether a holder is a given claim.
 
-    :param boot_id: run of the process that made the claim.
+    :param boot_id: identifies the process run that made the claim.
     """
     return holder.boot_id == boot_id and holder.serial == entry.serial
--- a/src/wagtailstep/controllers/claims.py
+++ b/src/wagtailstep/controllers/claims.py
@@ -1,10 +1,10 @@
 """Claims on plain idempotency keys, ordered by the log.
 
-A daemon that wants to run a keyed request appends a claim and decides when it has read
-the stream up to its own record: whoever's claim comes first holds the key. An
-acknowledgment spares reading the own record only if all earlier ones were read. No
-clock or lease is needed, and a claim that nobody waits for any more is never run but
-released.
+A daemon that is to execute a keyed request appends a claim and decides when it has
+read the stream up to its own record: the first claim in the log holds the key. The
+acknowledgment of an append can replace reading the record only if all earlier records
+have been read. No clock or lease is needed. A claim for which no request waits any
+more is never executed; it is released.
 """
 
 import itertools
@@ -61,12 +61,12 @@
 
 @attrs.define
 class PendingClaim:
-    """A claim of this daemon that has not been read back.
+    """A claim of this daemon whose record has not been read from the log.
 
     :param entry: the claim.
     :param fingerprint: digest of the request.
-    :param waiting: requests that wait for the decision; the first one runs if the
-        claim wins.
+    :param waiting: requests that wait for the decision; the first one is executed if
+        the claim gets the key.
     """
 
     entry: ClaimEntry
@@ -75,7 +75,7 @@
 
 
 class ServiceClaims:
-    """The claims of one service at one daemon."""
+    """Decides at one daemon about the plain keys of one service."""
 
     def __init__(
         self,
@@ -106,7 +106,7 @@
     def decide_request(
         self, request: RequestContext, fingerprint: str
     ) -> tuple[Decision, list[Any]]:
-        """Decide about a request with a plain key, or claim the key for it.
+        """Decide about a request with a plain key, or append a claim on the key.
 
         :param fingerprint: digest of the request.
         :return: the decision and effects for the runtime.
@@ -128,7 +128,7 @@
         return self.append_claim(key, request, fingerprint)
 
     def build_run_id(self, key: bytes) -> str:
-        """Return the name of the run for a claimed key."""
+        """Return the identifier of the run for a claimed key."""
         return f"{self.service}/{key.hex()}"
 
     def create_claim(self, key: bytes) -> ClaimEntry:
@@ -136,7 +136,7 @@
         return ClaimEntry(key, next(self.serials))
 
     def is_being_released(self, holder: ClaimHolder) -> bool:
-        """Tell whether a key is held by an own claim whose release is under way."""
+        """Return whether the holder is a local claim whose release is pending."""
         return (
             holder.boot_id == self.boot_id and holder.serial in self.releasing_serials
         )
@@ -144,17 +144,17 @@
     def join_pending(
         self, pending: PendingClaim, request: RequestContext, fingerprint: str
     ) -> Decision:
-        """Let a resend wait for the decision about the same key."""
+        """Let a repeated request wait for the decision about the same key."""
         if pending.fingerprint != fingerprint:
             return Refuse(build_key_mismatch_error())
         pending.waiting.append(request)
         return Wait()
 
     def decide_held_key(self, holder: ClaimHolder, request: RequestContext) -> Decision:
-        """Decide about a request whose key is held by a claim that ran elsewhere."""
+        """Decide about a request whose key is held by a claim without a local run."""
         if holder.daemon_id == self.blackboard.this_member.daemon_id:
             return Refuse(
-                build_unknown_outcome_error("this daemon has forgotten how it ended")
+                build_unknown_outcome_error("this daemon no longer knows how it ended")
             )
         if request.relayed:
             return Refuse(build_unknown_outcome_error("another daemon holds its key"))
@@ -168,10 +168,10 @@
     def decide_without_log(
         self, key: bytes, request: RequestContext, fingerprint: str
     ) -> tuple[Decision, list[Any]]:
-        """Refuse a request while the log is away, or run it unclaimed.
+        """Refuse a request while the log is unavailable, or execute it unclaimed.
 
-        The claim of one that runs is appended when the log is back, so that later
-        resends find it.
+        The claim of an executed request is appended when the log is available again,
+        so that later repetitions of the request find it.
         """
         row = self.blackboard.table.service_row(self.service)
         if row.log_away is LogAwayPolicy.REFUSE:
@@ -183,51 +183,51 @@
     def append_claim(
         self, key: bytes, request: RequestContext, fingerprint: str
     ) -> tuple[Decision, list[Any]]:
-        """Append a claim; the decision comes when it has been read back."""
+        """Append a claim; the decision is made when its record has been read."""
         entry = self.create_claim(key)
         self.pending[key] = PendingClaim(entry, fingerprint, [request])
         self.appender.add(entry)
         return Wait(), [FollowStream(self.stream), *self.flush()]
 
     def start_run(self, entry: ClaimEntry, fingerprint: str) -> RunHere:
-        """Note that this daemon runs the request of a claim now."""
+        """Record that this daemon now executes the request of a claim."""
         run_id = self.build_run_id(entry.key)
         run = Run(run_id, self.service, RunState.RUNNING, fingerprint, claim=entry)
         self.runs.add(run)
         return RunHere(run_id)
 
     def release_run(self, run: Run) -> list[Any]:
-        """Release the claim of a run that ended as not run.
+        """Release the claim of a run whose request was not executed.
 
-        Nothing runs under the claim afterwards: its run is forgotten here before
-        the release can be read by anybody.
+        Nothing is executed under the claim afterwards, since its run is removed here
+        before any daemon can read the release.
         """
         self.runs.remove(run.run_id)
         return self.release_claim(run.claim)
 
     def release_claim(self, claim: ClaimEntry) -> list[Any]:
-        """Append the release of a claim that was not run and never will be."""
+        """Append the release of a claim that was not and will not be executed."""
         self.cancel_claim(claim)
         self.releasing_serials.add(claim.serial)
         self.appender.add(attrs.evolve(claim, released=True))
         return self.flush()
 
     def cancel_claim(self, claim: ClaimEntry) -> None:
-        """Note that a claim never runs, should its record turn up later.
+        """Record that a claim must not be executed if its record is read later.
 
-        The memory is bounded; a claim that is no longer in it keeps its key held,
-        which is safe.
+        At most ``MAX_CANCELLED_CLAIMS`` are kept. A claim dropped from them is not
+        released and continues to hold its key, which is safe.
         """
         self.cancelled_claims[claim.serial] = None
         if len(self.cancelled_claims) > MAX_CANCELLED_CLAIMS:
             self.cancelled_claims.popitem(last=False)
 
     def flush(self) -> list[Any]:
-        """Start the append of what waits for it, if none is under way."""
+        """Start an append of the queued entries, if none is in flight."""
         return list(self.appender.flush(self.clock.monotonic()))
 
     def cancel_wait(self, request: RequestContext) -> None:
-        """Let a request wait no longer; a claim that nobody wants is given up."""
+        """Stop waiting for a request; cancel its claim if no other request waits."""
         key = digest_key(request.account, request.idempotency_key)
         pending = self.pending.get(key)
         if pending is None or request not in pending.waiting:
@@ -239,7 +239,7 @@
             self.cancel_claim(pending.entry)
 
     def complete_append(self, event: LogAppendSettled) -> list[Any]:
-        """Take the end of the append under way."""
+        """Handle the end of the append in flight."""
         sent = self.appender.in_flight_entries
         lost = self.appender.complete_append(event, self.clock.monotonic())
         decided: list[Any] = []
@@ -253,14 +253,14 @@
     def apply_local_batch(
         self, entries: tuple[ClaimEntry, ...], offset: int
     ) -> list[Any]:
-        """Fold an own record at once, since all records before it have been read."""
+        """Apply a local record at once, since all earlier records have been read."""
         self.next_offset = offset + 1
         return self.apply_batch(
             ClaimBatch(self.appender.daemon_id, self.boot_id, entries)
         )
 
     def must_be_appended(self, entry: ClaimEntry) -> bool:
-        """Tell whether an entry still has to get into the log."""
+        """Return whether an entry still has to be appended to the log."""
         if entry.released:
             return entry.serial in self.releasing_serials
         pending = self.pending.get(entry.key)
@@ -270,7 +270,7 @@
         return run is not None and run.claim == entry
 
     def refuse_pending(self, entries: tuple[ClaimEntry, ...]) -> list[RequestDecided]:
-        """Refuse the requests whose claims the log did not take."""
+        """Refuse the requests whose claims were not appended to the log."""
         decided = []
         for entry in entries:
             pending = self.pending.get(entry.key)
@@ -282,7 +282,7 @@
         return decided
 
     def apply_records(self, records: tuple[LogRecord, ...]) -> list[Any]:
-        """Take the next records of the stream."""
+        """Apply the next records of the stream."""
         effects: list[Any] = []
         for record in records:
             if record.offset < self.next_offset:
@@ -297,14 +297,14 @@
         return effects
 
     def apply_batch(self, batch: ClaimBatch) -> list[Any]:
-        """Fold one record and decide what it decides."""
+        """Apply one record and decide the requests that it settles."""
         effects: list[Any] = []
         for entry in batch.entries:
             effects += self.apply_entry(batch, entry)
         return effects
 
     def apply_entry(self, batch: ClaimBatch, entry: ClaimEntry) -> list[Any]:
-        """Fold one entry and decide what it decides."""
+        """Apply one entry and decide the requests that it settles."""
         self.fold.apply(batch, entry, self.clock.monotonic())
         if batch.boot_id != self.boot_id:
             return []
@@ -319,9 +319,10 @@
         return self.handle_unexpected_claim(entry)
 
     def handle_unexpected_claim(self, entry: ClaimEntry) -> list[Any]:
-        """Look at an own claim that was read while no request waits for it.
+        """Handle a local claim that was read while no request waits for it.
 
-        One that holds its key and was given up is released.
+        A cancelled claim that holds its key is released. An event is recorded if a
+        request was executed here under a claim that does not hold its key.
         """
         holder = self.fold.find_holder(entry.key)
         won = holder is not None and matches_claim(holder, self.boot_id, entry)
@@ -334,7 +335,7 @@
         return []
 
     def decide_pending(self, pending: PendingClaim) -> list[Any]:
-        """Decide about the requests that wait for a claim just read back."""
+        """Decide about the requests that wait for a claim that was just read."""
         holder = self.fold.find_holder(pending.entry.key)
         if holder is None or not self.fold.is_complete(self.clock.monotonic()):
             self.cancel_claim(pending.entry)
@@ -350,7 +351,7 @@
         ]
 
     def run_first_waiting(self, pending: PendingClaim) -> list[Any]:
-        """Run the first request that waits for a claim; the others wait for it."""
+        """Execute the first request that waits for a claim; others await its end."""
         first, *others = pending.waiting
         decision = self.start_run(pending.entry, pending.fingerprint)
         run = self.runs.find(decision.run_id)
@@ -358,14 +359,14 @@
         return [RequestDecided(first.request_id, decision)]
 
     def replace_claim(self, pending: PendingClaim) -> list[Any]:
-        """Claim a key whose holder is an own claim that is being released."""
+        """Append another claim on a key whose local holder is being released."""
         entry = self.create_claim(pending.entry.key)
         self.pending[entry.key] = attrs.evolve(pending, entry=entry)
         self.appender.add(entry)
         return self.flush()
 
     def skip_gap(self, oldest_offset: int) -> list[Any]:
-        """Forget what the log has forgotten; undecided claims are never run."""
+        """Discard the state of expired records; undecided claims are never executed."""
         self.fold.clear()
         self.next_offset = oldest_offset
         lost, self.pending = self.pending, {}
--- a/src/wagtailstep/controllers/concurrency.py
+++ b/src/wagtailstep/controllers/concurrency.py
@@ -1,4 +1,4 @@
-"""Concurrency limit that follows what one backend server sustains."""
+"""Adaptive concurrency limit of one backend server."""
 
 from datetime import timedelta
 
@@ -6,20 +6,23 @@
 
 DECREASE_FACTOR = 0.7
 INCREASE_STEP = 0.25
+# Weight of the newest sample in the moving average of durations.
 AVERAGE_WEIGHT = 0.1
+# A missed deadline counts as overload above this multiple of the typical duration.
 SLOW_FACTOR = 3.0
 
 
 class ConcurrencyLimit:
-    """Additive increase, multiplicative decrease within 1 and the slots.
+    """Limit with additive increase and multiplicative decrease, from 1 to the slots.
 
-    It falls when the backend server refuses requests, or takes a multiple of the
-    usual time and still misses the deadline. It rises while it is used up and all is
-    well. The time alone decides nothing: a route's requests differ, and a backend
-    server may answer as many requests a second side by side as one by one.
+    It falls when the backend server refuses a request, or when a request misses its
+    deadline after a multiple of the typical duration. It rises when a request is
+    answered while the limit is fully used. Duration alone never lowers it: requests
+    of one route differ, and a backend server may reach the same throughput with
+    parallel requests as with sequential ones.
 
-    :param slots: requests that the backend server says it can run at once.
-    :param trust_slots: whether it runs as many whenever it works at all.
+    :param slots: number of parallel requests that the backend server announces.
+    :param trust_slots: whether a working backend server always runs that many.
     """
 
     def __init__(self, slots: int, trust_slots: bool = False) -> None:
@@ -31,17 +34,17 @@
 
     @property
     def max_running(self) -> int:
-        """Return the number of requests that may run at once."""
+        """Return the number of requests that may run in parallel."""
         return max(1, int(self.value))
 
     def resize(self, slots: int) -> None:
-        """Follow a changed number of slots; a rise is tried at once."""
+        """Reset the limit to a changed number of slots, also if that is higher."""
         if slots != self.slots:
             self.slots = slots
             self.value = float(slots)
 
     def typical_time(self, route: str) -> timedelta:
-        """Return the time that a request of a route takes; zero if unknown."""
+        """Return the mean duration of a route's requests; zero if unknown."""
         return timedelta(seconds=self.average_s.get(route, 0.0))
 
     def record(
@@ -52,13 +55,14 @@
         ended_at: timedelta,
         concurrent_others: int,
     ) -> None:
-        """Learn from one request.
+        """Update the limit and the mean duration by one ended request.
 
         :param route: its route.
-        :param result: how the backend server dealt with it.
+        :param result: how it ended at the backend server.
         :param started_at: monotonic time when it was sent.
         :param ended_at: monotonic time when it ended.
-        :param concurrent_others: most other requests that ran at the same time.
+        :param concurrent_others: highest number of other requests that ran at the
+            same time.
         """
         seconds = (ended_at - started_at).total_seconds()
         if self.is_overload(route, result, seconds, concurrent_others):
@@ -73,11 +77,11 @@
     def is_overload(
         self, route: str, result: RunResult, seconds: float, concurrent_others: int
     ) -> bool:
-        """Tell whether a request shows that too many ran at once.
+        """Return whether the end of a request indicates too many parallel requests.
 
-        A missed deadline shows it only if the request had a multiple of the usual
-        time, so a caller in a hurry takes no capacity from the others. A refusal
-        with slots free, by a number that can be trusted, shows a fault instead.
+        A missed deadline does so only after a multiple of the typical duration, so
+        that callers with short deadlines don't reduce the capacity of the others. A
+        refusal while trusted slots are free indicates a fault of the server instead.
         """
         if result is RunResult.REFUSED:
             return not self.trust_slots or concurrent_others + 1 >= self.slots
@@ -85,7 +89,7 @@
         return result is RunResult.TIMED_OUT and seconds > SLOW_FACTOR * typical_s
 
     def decrease(self, started_at: timedelta, ended_at: timedelta) -> None:
-        """Lower the limit once for all requests that ran at the same time."""
+        """Lower the limit, but only once for requests that ran at the same time."""
         if started_at < self.decreased_at:
             return
         self.decreased_at = ended_at
--- a/src/wagtailstep/controllers/gate.py
+++ b/src/wagtailstep/controllers/gate.py
@@ -1,8 +1,8 @@
-"""Admission to the backend servers beside this daemon.
+"""Admission of requests to the backend servers beside this daemon.
 
-Every request to a backend server passes its gate, so slot limit, refusal of new
-work while it leaves, and the statement that a request was not run need no
-agreement with anybody.
+Every request to a backend server passes through its gate. No coordination with other
+daemons is therefore needed to enforce the slot limit, to refuse new work while the
+server is leaving, or to state that a request was not executed.
 """
 
 import random
@@ -44,24 +44,26 @@
 from wagtailstep.models.verdict import Verdict
 from wagtailstep.utils.clock import Clock
 
-# A request that is late anyway may still wait for the next slot.
+# A request that would miss its aim may still wait this long for the next slot.
 MAX_WAIT_PAST_AIM = timedelta(milliseconds=150)
-# Asking another gate takes a few milliseconds and work at both ends. With four slots
-# and work of a quarter of a second the next slot is free after about this time.
+# A request that should try another gate first may wait this long instead. Trying one
+# takes a few milliseconds and work at both ends. With four slots and requests of a
+# quarter of a second the next slot is free after about this time.
 MAX_WAIT_BEFORE_REROUTE = timedelta(milliseconds=60)
-# Usual times that a request is given between its start and its aim: one to run, one
-# for the error of the expected wait. docs/design/queueing.md has the figures.
+# Time reserved between the start of a request and its aim, as a multiple of its
+# expected duration: one to run and one for the error of the estimated wait. The
+# figures are in docs/design/queueing.md.
 AIM_RESERVE_FACTOR = 2.0
 MIN_RETRY_AFTER = timedelta(milliseconds=200)
 
 
 class GateController:
-    """Decide which request runs, waits or is refused.
+    """Decides which requests are started, queued or refused.
 
     :param settings: settings of the daemon.
-    :param blackboard: read for targets.
+    :param blackboard: provides the known targets.
     :param clock: source of monotonic time.
-    :param rng: random choices; none are needed today.
+    :param rng: source of random choices; currently unused.
     """
 
     def __init__(
@@ -81,7 +83,7 @@
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
-        """Take one event and return effects, in order."""
+        """Handle one event and return its effects, in order."""
         return []
 
     @handle.register
@@ -101,7 +103,7 @@
 
     @handle.register
     def complete_request(self, event: GateRequestEnded) -> list[Any]:
-        """Free the slot of a request that ended and start the next ones."""
+        """Free the slot of a request that ended and start waiting requests."""
         queue = self.queues_by_serial.pop(event.serial, None)
         if queue is None:
             return []
@@ -121,7 +123,7 @@
 
     @handle.register
     def cancel_request(self, event: GateRequestAbandoned) -> list[Any]:
-        """Take out a request whose caller has gone."""
+        """Cancel a request whose caller no longer waits for it."""
         queue = self.queues_by_serial.get(event.serial)
         if queue is None:
             return []
@@ -135,16 +137,16 @@
 
     @handle.register
     def revoke(self, event: AttemptRevoked) -> list[Any]:
-        """Bar an attempt that has not arrived, and tell what became of it."""
+        """Revoke an attempt if it has not arrived, and report its state."""
         return [TellAttemptState(self.history.revoke(event.attempt_id))]
 
     def find_refusal(self, request: GateRequest) -> RequestError | None:
-        """Return why a request can't be taken, or ``None``."""
+        """Return the error for a request that can't be accepted, or ``None``."""
         if self.history.is_revoked(request.attempt_id):
             return build_revoked_error(request)
         if self.history.was_accepted(request):
-            message = f"request {request.request_id} was accepted before"
-            # The caller has sent it once; only this fleet's own sending is a duplicate.
+            message = f"request {request.request_id} was already accepted by this gate"
+            # Not a client error: the duplicate was sent by this fleet, not the caller.
             status = HTTPStatus.BAD_GATEWAY
             return DuplicateRequestError(message, Verdict.MAY_HAVE_RUN, status)
         if request.deadline <= self.clock.monotonic():
@@ -157,14 +159,15 @@
         if target.state is TargetState.LEAVING:
             return LeavingError(f"{request.target_id} is leaving")
         if self.is_doubted(request, target):
-            return DoubtedTargetError(f"{request.target_id} has failed just now")
+            return DoubtedTargetError(f"{request.target_id} has recently failed")
         return self.find_overload(request)
 
     def is_doubted(self, request: GateRequest, target: Target) -> bool:
-        """Tell whether an entry would not have chosen a target as it stands now.
+        """Return whether a target's standing is too bad for a request.
 
-        News of a standing takes a moment, and a backend server that fails at once
-        always has slots free.
+        The entry may have chosen the target before it received the current standing.
+        A backend server that fails immediately always has free slots, so it would
+        otherwise attract requests.
         """
         if target.standing <= request.chosen_standing:
             return False
@@ -172,7 +175,7 @@
         return target.standing >= limit
 
     def find_overload(self, request: GateRequest) -> RequestError | None:
-        """Return a refusal if the request would wait for too long, or ``None``."""
+        """Return the error for a request that would wait too long, or ``None``."""
         queue = self.get_queue(request.target_id)
         if queue.has_free_slot and not queue.has_earlier_waiting(request):
             return None
@@ -182,13 +185,13 @@
         if len(queue.waiting) >= self.settings.queue_length:
             return OverloadedError(f"the queue of {request.target_id} is full", wait)
         if wait > timedelta(milliseconds=self.settings.queue_timeout_ms):
-            message = f"the queue of {request.target_id} is too long"
+            message = f"the expected wait for {request.target_id} is too long"
             return OverloadedError(message, retry_after)
         if not request.may_wait and wait > MAX_WAIT_BEFORE_REROUTE:
             return OverloadedError(f"no slot of {request.target_id} is free", wait)
         ends_at = now + wait + queue.expected_duration(request)
         if self.would_miss_aim(request, queue, now + wait):
-            message = f"{request.target_id} can't answer while that is of full use"
+            message = f"{request.target_id} can't answer within the latency aim"
             return OverloadedError(message, retry_after)
         if ends_at > request.deadline:
             message = f"{request.target_id} can't answer before the deadline"
@@ -198,10 +201,9 @@
     def would_miss_aim(
         self, request: GateRequest, queue: TargetQueue, starts_at: timedelta
     ) -> bool:
-        """Tell whether a queue is so long that waiting in it makes the answer late.
+        """Return whether a request that waits in a queue would miss its aim.
 
-        With more work than slots a longer queue makes all answers late and serves no
-        more of them.
+        Under overload a longer queue delays all responses without raising throughput.
         """
         if request.aim_at is None:
             return False
@@ -211,26 +213,26 @@
         return starts_at + reserve > request.aim_at
 
     def count_waiting(self) -> dict[str, int]:
-        """Return how many requests wait for a slot, by service."""
+        """Return the number of requests that wait for a slot, by service."""
         return self.count_by_service(lambda queue: len(queue.waiting))
 
     def count_running(self) -> dict[str, int]:
-        """Return how many requests have a slot, by service."""
+        """Return the number of requests that occupy a slot, by service."""
         return self.count_by_service(lambda queue: len(queue.running))
 
     def count_by_service(self, count: Callable[[TargetQueue], int]) -> dict[str, int]:
-        """Add up a number of each queue, by service."""
+        """Return the sum of a number over the queues of each service."""
         counts: Counter[str] = Counter()
         for target_id, queue in self.queues.items():
             counts[target_id.partition("/")[0]] += count(queue)
         return counts
 
     def is_local(self, target: Target) -> bool:
-        """Tell whether a backend server is beside this daemon."""
+        """Return whether a target's backend server is beside this daemon."""
         return target.daemon_id == self.blackboard.this_member.daemon_id
 
     def get_queue(self, target_id: str) -> TargetQueue:
-        """Return the queue of a known target, sized by its slots."""
+        """Return the queue of a known target, adjusted to its number of slots."""
         slots = self.blackboard.targets[target_id].slots
         queue = self.queues.get(target_id)
         if queue is None:
@@ -241,14 +243,14 @@
         return queue
 
     def remove_unused_queues(self) -> None:
-        """Forget backend servers that are gone and have nothing left to end."""
+        """Remove empty queues of backend servers that are no longer known."""
         for target_id, queue in list(self.queues.items()):
             is_empty = not queue.running and not queue.waiting
             if is_empty and target_id not in self.blackboard.targets:
                 del self.queues[target_id]
 
     def start(self, queue: TargetQueue, request: GateRequest) -> StartRequest:
-        """Give a slot to a request."""
+        """Assign a slot to a request."""
         now = self.clock.monotonic()
         concurrent_others = len(queue.running)
         for running in queue.running.values():
@@ -259,7 +261,7 @@
         return StartRequest(request.serial)
 
     def start_waiting(self, queue: TargetQueue) -> list[Any]:
-        """Start waiting requests while slots are free; refuse the late ones."""
+        """Start waiting requests while slots are free; refuse expired ones."""
         effects: list[Any] = []
         while queue.waiting and queue.has_free_slot:
             serial, request = queue.pop_next()
@@ -269,16 +271,17 @@
             del self.queues_by_serial[serial]
             self.history.discard_unstarted(request)
             error = DeadlineExceededError(
-                "the deadline passed while the request waited", Verdict.NOT_RUN
+                "the deadline passed while the request waited for a slot",
+                Verdict.NOT_RUN,
             )
             effects.append(RefuseRequest(serial, error))
         return effects
 
 
 def build_revoked_error(request: GateRequest) -> RequestError:
-    """Describe why an attempt that arrives too late is refused."""
+    """Return the error for an attempt that arrived after it had been revoked."""
     error = ConnectionFailedError(
-        f"attempt {request.attempt_id} arrived after its entry had given it up",
+        f"attempt {request.attempt_id} arrived after its entry had revoked it",
         Verdict.NOT_RUN,
     )
     error.blame = Blame.CONNECTION
--- a/src/wagtailstep/controllers/guard.py
+++ b/src/wagtailstep/controllers/guard.py
@@ -38,7 +38,7 @@
 
 
 class DuplicateGuard:
-    """Decide which guarded requests this daemon runs."""
+    """Decides which guarded requests this daemon executes."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
-        """Take one event and return effects."""
+        """Handle one event and return its effects."""
         return []
 
     @handle.register
@@ -95,8 +95,8 @@
 
         :param fingerprint: digest of method, path, client account and body.
         :return: the decision; after :class:`~wagtailstep.models.idempotency.Wait`
-            the real one comes as an effect, unless :meth:`cancel_wait` is called.
-        :raises BadRequestError: if the key looks like a ticket and isn't one.
+            the final one follows as an effect, unless :meth:`cancel_wait` is called.
+        :raises BadRequestError: if the key starts like a ticket but isn't a valid one.
         """
         ticket = parse_ticket(request.idempotency_key)
         if ticket is not None:
@@ -108,10 +108,10 @@
     def finish_run(
         self, run_id: str, verdict: Verdict, answer: StoredAnswer | None = None
     ) -> list[Any]:
-        """End a run that :meth:`decide_request` or an effect allowed.
+        """End a run that :meth:`decide_request` or an effect permitted.
 
-        :param verdict: how it ended; ``NOT_RUN`` only as a fact.
-        :param answer: its whole answer, if it is small enough to keep.
+        :param verdict: how it ended; ``NOT_RUN`` only if that is certain.
+        :param answer: its complete response, if it is small enough to store.
         """
         run = self.runs.find(run_id)
         if run is None:
@@ -122,7 +122,7 @@
         return list(decided)
 
     def cancel_wait(self, request: RequestContext) -> None:
-        """Forget a request that was told to wait and has been given up."""
+        """Cancel the wait of a request for its decision."""
         claims = self.claims_by_service.get(request.service)
         if claims is not None:
             claims.cancel_wait(request)
@@ -131,19 +131,19 @@
             run.waiting.remove(request.request_id)
 
     def is_known_not_run(self, request: RequestContext) -> bool:
-        """Tell whether no earlier sending of a guarded request has run, as a fact."""
+        """Return whether it is certain that no attempt of a guarded request has run."""
         run = self.find_run(request)
         return run is not None and run.state is RunState.READY
 
     def find_run(self, request: RequestContext) -> Run | None:
-        """Return the run that this daemon remembers for a guarded request."""
+        """Return the stored run of a guarded request, or ``None``."""
         if parse_ticket(request.idempotency_key) is not None:
             return self.runs.find(request.idempotency_key)
         key = digest_key(request.account, request.idempotency_key)
         return self.runs.find(f"{request.service}/{key.hex()}")
 
     def get_claims(self, service: str) -> ServiceClaims:
-        """Return the claims of a service; the first call makes the claims."""
+        """Return the claims of a service; create them on the first call."""
         claims = self.claims_by_service.get(service)
         if claims is None:
             claims = self.claims_by_service[service] = ServiceClaims(
@@ -159,7 +159,7 @@
         return claims
 
     def get_claims_of_stream(self, stream: str) -> ServiceClaims | None:
-        """Return the claims that follows a stream, or ``None``."""
+        """Return the claims of the service that a stream belongs to, or ``None``."""
         if not stream.startswith(STREAM_PREFIX):
             return None
         return self.claims_by_service.get(stream.removeprefix(STREAM_PREFIX))
--- a/src/wagtailstep/controllers/limits.py
+++ b/src/wagtailstep/controllers/limits.py
@@ -1,4 +1,4 @@
-"""Limits at one daemon's entry: concurrency and the rates of client accounts."""
+"""Limits at a daemon's entry: concurrency, and request rates of client accounts."""
 
 from collections import OrderedDict
 from datetime import timedelta
@@ -14,13 +14,14 @@
 
 RETRY_AFTER = timedelta(seconds=1)
 TOO_MANY_REQUESTS = 429
+# A full bucket holds as many tokens as are refilled in this time.
 BURST_DURATION = timedelta(seconds=1)
 
 
 def check_concurrency(blackboard: Blackboard, request: RequestContext) -> None:
-    """Refuse a request whose service or route has all it may have in flight.
+    """Refuse a request if its service or route is at its concurrency limit.
 
-    :raises OverloadedError: naming the row of the table that holds the limit.
+    :raises OverloadedError: with the table row that sets the limit in its message.
     """
     table = blackboard.table
     in_flight = blackboard.in_flight
@@ -35,29 +36,29 @@
 def _check_count(count: int, limit: int, row: str) -> None:
     if limit and count >= limit:
         raise OverloadedError(
-            f"concurrency limit {limit} of {row!r} is reached at this daemon; "
-            "come back after the time in Retry-After",
+            f"the concurrency limit of {limit} for {row!r} is reached at this daemon; "
+            "retry after the time in Retry-After",
             RETRY_AFTER,
         )
 
 
 @attrs.define
 class TokenBucket:
-    """Tokens that refill with time.
+    """Token bucket of a rate limiter.
 
-    :param tokens: tokens left.
-    :param updated_at: monotonic time when ``tokens`` was right.
+    :param tokens: available tokens as of ``updated_at``.
+    :param updated_at: monotonic time of the last refill.
     """
 
     tokens: float
     updated_at: timedelta
 
     def refill(self, now: timedelta, rate: float, burst: float) -> None:
-        """Add the tokens of the time since the last refill.
+        """Add the tokens earned since the last refill.
 
         :param now: monotonic time.
         :param rate: tokens per second.
-        :param burst: most tokens that may be left.
+        :param burst: maximum number of tokens.
         """
         gained = (now - self.updated_at).total_seconds() * rate
         self.tokens = min(burst, self.tokens + gained)
@@ -65,11 +66,11 @@
 
 
 class AccountLimiter:
-    """Limit the request rate of each client account at this daemon.
+    """Limits the request rate of each client account at this daemon.
 
-    Only accounts that used their limit lately are remembered, at most
-    ``account_buckets`` of them. A forgotten account starts with a full bucket, so
-    it may gain one burst, which is one second's worth of requests.
+    Only the buckets of the most recently active accounts are kept, at most
+    ``account_buckets``. An evicted account starts again with a full bucket, so it may
+    gain one burst, which is one second's worth of requests.
     """
 
     def __init__(self, settings: RequestSettings, clock: Clock) -> None:
@@ -78,7 +79,7 @@
         self.buckets: OrderedDict[str, TokenBucket] = OrderedDict()
 
     def acquire_token(self, table: Table, request: RequestContext) -> None:
-        """Take one token of the request's client account.
+        """Consume one token of the request's client account.
 
         :raises OverloadedError: if the account has none left.
         """
@@ -90,15 +91,16 @@
         if bucket.tokens < 1:
             wait = timedelta(seconds=(1 - bucket.tokens) / rate)
             raise OverloadedError(
-                f"client account {request.account!r} has used its {rate:g} requests "
-                "per second at this daemon; come back after the time in Retry-After",
+                f"client account {request.account!r} has exceeded its rate limit of "
+                f"{rate:g} requests per second at this daemon; retry after the time "
+                "in Retry-After",
                 wait,
                 TOO_MANY_REQUESTS,
             )
         bucket.tokens -= 1
 
     def get_bucket(self, account_id: str, rate: float) -> TokenBucket:
-        """Return the refilled bucket of an account, making room for it."""
+        """Return the refilled bucket of an account; evict the oldest one if needed."""
         now = self.clock.monotonic()
         burst = max(1.0, rate * BURST_DURATION.total_seconds())
         bucket = self.buckets.get(account_id)
@@ -112,7 +114,7 @@
 
 
 def get_rate_limit(table: Table, service: str, account: str) -> float:
-    """Return the requests per second of an account; 0 is no limit."""
+    """Return the rate limit of an account in requests per second; 0 is no limit."""
     row = table.accounts.get(f"{service}/{account}")
     if row is not None:
         return row.rate_limit
--- a/src/wagtailstep/controllers/load_plan.py
+++ b/src/wagtailstep/controllers/load_plan.py
@@ -1,4 +1,4 @@
-"""Which requests a load consists of, and when they arrive."""
+"""Generation of the requests of a load test and of their arrival times."""
 
 import math
 import random
@@ -16,12 +16,12 @@
 
 @attrs.frozen
 class Arrival:
-    """One request of a slice.
+    """One request of a time slice.
 
-    :param at_s: when it arrives, in seconds since the slice began.
-    :param request_class: what is asked for.
-    :param daemon_draw: chooses one of the daemons; from 0 to below 1.
-    :param cancels_early: whether its caller gives up early.
+    :param at_s: arrival time in seconds since the start of the slice.
+    :param request_class: class that the request belongs to.
+    :param daemon_draw: random number in [0, 1) that selects one of the daemons.
+    :param cancels_early: whether its caller cancels it before its timeout.
     """
 
     at_s: float
@@ -31,14 +31,15 @@
 
 
 def plan_slice(settings: LoadSettings, slice_number: int) -> list[Arrival]:
-    """Draw the arrivals of a slice; they depend on the seed and its number alone."""
+    """Generate the arrivals of a slice, which depend only on seed and slice number."""
     rng = random.Random(f"{settings.seed}/{slice_number}")
     shares = [request_class.share for request_class in settings.classes]
     max_rate = compute_max_rate(settings.arrivals)
     arrivals = []
     at_s = rng.expovariate(max_rate)
     while at_s < settings.slice_s:
-        # Thinning: of arrivals at the highest rate as many are kept as the rate says.
+        # Thinning: arrivals are drawn at the maximum rate and kept with probability
+        # rate / max_rate.
         if rng.random() * max_rate < compute_rate(settings.arrivals, at_s):
             (request_class,) = rng.choices(settings.classes, shares)
             cancels_early = (
@@ -51,7 +52,7 @@
 
 
 def compute_rate(arrivals: ArrivalSettings, at_s: float) -> float:
-    """Return the rate at a moment of a slice, in requests a second."""
+    """Return the arrival rate at a time within a slice, in requests per second."""
     if arrivals.shape == WAVE:
         phase = 2 * math.pi * at_s / arrivals.period_s
         return arrivals.rate_per_s * (1 + arrivals.swing * math.sin(phase))
@@ -63,7 +64,7 @@
 
 
 def compute_max_rate(arrivals: ArrivalSettings) -> float:
-    """Return the highest rate of a shape, in requests a second."""
+    """Return the maximum arrival rate of a shape, in requests per second."""
     if arrivals.shape == WAVE:
         return arrivals.rate_per_s * (1 + arrivals.swing)
     if arrivals.shape == BURST:
@@ -72,6 +73,6 @@
 
 
 def order_sides(settings: LoadSettings, slice_number: int) -> list[int]:
-    """Return the indices of the sides in the order in which a slice is played."""
+    """Return the indices of the sides in the order in which a slice runs at them."""
     indices = list(range(len(settings.sides)))
     return indices if slice_number % 2 == 0 else indices[::-1]
--- a/src/wagtailstep/controllers/request_history.py
+++ b/src/wagtailstep/controllers/request_history.py
@@ -1,4 +1,4 @@
-"""What a gate remembers of the requests that it took."""
+"""Record of the requests that a gate has accepted, used to detect duplicates."""
 
 from collections import OrderedDict
 from datetime import timedelta
@@ -6,16 +6,17 @@
 from wagtailstep.models.gate import AttemptState, GateRequest
 from wagtailstep.utils.clock import Clock
 
-# An entry trusts an answer about an attempt for much less than this.
+# Entries rely on a reported attempt state for a much shorter time than this.
 ENDED_RETENTION = timedelta(seconds=60)
+# Also applies to accepted requests that are not idempotent.
 REVOKED_RETENTION = timedelta(minutes=10)
 
 
 class ExpiringSet:
-    """Identifiers that are forgotten some time after they were added.
+    """Set of identifiers that expire some time after they were added.
 
     :param clock: source of monotonic time.
-    :param retention: how long an identifier is kept.
+    :param retention: minimum time that an identifier is kept.
     """
 
     def __init__(self, clock: Clock, retention: timedelta) -> None:
@@ -24,11 +25,11 @@
         self.added_at: OrderedDict[str, timedelta] = OrderedDict()
 
     def __contains__(self, identifier: str) -> bool:
-        """Tell whether an identifier is kept."""
+        """Return whether an identifier is in the set."""
         return identifier in self.added_at
 
     def add(self, identifier: str) -> None:
-        """Keep an identifier from now on, and forget the old ones."""
+        """Add an identifier, or restart its retention, and remove the expired ones."""
         now = self.clock.monotonic()
         self.added_at[identifier] = now
         self.added_at.move_to_end(identifier)
@@ -38,12 +39,14 @@
             oldest = next(iter(self.added_at))
 
     def discard(self, identifier: str) -> None:
-        """Forget an identifier, if it is kept."""
+        """Remove an identifier if it is in the set."""
         self.added_at.pop(identifier, None)
 
 
 class RequestHistory:
-    """Attempts that a gate holds, ended or barred, and requests it won't run again.
+    """Tracks held, ended and revoked attempts, and requests not to be run again.
+
+    A held attempt waits for a slot or runs.
 
     :param clock: source of monotonic time.
     """
@@ -55,33 +58,33 @@
         self.accepted = ExpiringSet(clock, REVOKED_RETENTION)
 
     def record_accepted(self, request: GateRequest) -> None:
-        """Note a request that waits or runs from now on."""
+        """Record a request that waits or runs from now on."""
         self.held.add(request.attempt_id)
         if not request.idempotent:
             self.accepted.add(request.request_id)
 
     def record_ended(self, request: GateRequest) -> None:
-        """Note that a request that was started has ended."""
+        """Record that a request that was started has ended."""
         self.held.discard(request.attempt_id)
         self.ended.add(request.attempt_id)
 
     def discard_unstarted(self, request: GateRequest) -> None:
-        """Forget a request that was certainly not started."""
+        """Remove a request that was certainly not started."""
         self.held.discard(request.attempt_id)
         self.accepted.discard(request.request_id)
 
     def was_accepted(self, request: GateRequest) -> bool:
-        """Tell whether a request must not be run because it may have run."""
+        """Return whether a request must not be run because it may already have run."""
         if request.attempt_id in self.held or request.attempt_id in self.ended:
             return True
         return not request.idempotent and request.request_id in self.accepted
 
     def is_revoked(self, attempt_id: str) -> bool:
-        """Tell whether an attempt was barred before it arrived."""
+        """Return whether an attempt was revoked before it arrived."""
         return attempt_id in self.revoked
 
     def revoke(self, attempt_id: str) -> AttemptState:
-        """Bar an attempt unless it has arrived, and return what is known of it."""
+        """Revoke an attempt unless it has arrived, and return its state."""
         if attempt_id in self.held:
             return AttemptState.HELD
         if attempt_id in self.ended:
--- a/src/wagtailstep/controllers/retries.py
+++ b/src/wagtailstep/controllers/retries.py
@@ -1,7 +1,8 @@
-"""Whether the system itself sends a request again.
+"""Decides whether the fleet itself retries a request.
 
-Retries draw on a budget per service that first attempts fill, so that at most
-``retry_ratio`` of the work in the long run consists of retries, however much fails.
+Retries consume a budget per service that first attempts refill. In the long run
+retries are therefore at most ``retry_ratio`` times the first attempts, regardless of
+the failure rate.
 """
 
 from collections import deque
@@ -22,18 +23,19 @@
 
 MIN_TIME_LEFT_MS = 5
 MAX_LEAVING_ATTEMPTS = 8
-# Gates refuse in a few milliseconds; after as many refusals the service is full.
+# Gates refuse within a few milliseconds; after this many refusals the service is
+# considered full.
 MAX_UNSENT_ATTEMPTS = 6
 MAX_OVERLOADED_ATTEMPTS = 3
-# Before a daemon knows the others it takes itself for one of at least so many.
+# A daemon that does not know the other daemons yet assumes at least this many.
 MIN_ASSUMED_DAEMONS = 16
 
 
 @attrs.define
 class RetryBudget:
-    """The retries that one service may still make.
+    """Retry budget of one service.
 
-    :param tokens: retries left; fractions add up.
+    :param tokens: remaining retries, including fractions of one.
     """
 
     tokens: float
@@ -41,7 +43,7 @@
 
 @attrs.define
 class WindowedSum:
-    """Amounts with the time at which each was added.
+    """Sum of the amounts that were added within a time window.
 
     :param entries: monotonic time and amount, oldest first.
     :param total: sum of the amounts.
@@ -51,27 +53,27 @@
     total: float = 0.0
 
     def add(self, amount: float, now: timedelta) -> None:
-        """Add an amount."""
+        """Add an amount to the sum."""
         self.entries.append((now, amount))
         self.total += amount
 
     def expire_before(self, oldest: timedelta) -> None:
-        """Take out what was added at ``oldest`` or before."""
+        """Remove the amounts that were added at ``oldest`` or before."""
         while self.entries and self.entries[0][0] <= oldest:
             self.total -= self.entries.popleft()[1]
 
 
 class SharedRetryBudget:
-    """This daemon's share of the retries that all daemons may make for a service.
+    """This daemon's part of the retries that the whole fleet may make for a service.
 
     In any window of ``retry_window_ms`` a daemon makes at most ``retry_ratio`` times
-    the requests that it took for the service in that window, and
-    its equal part of ``retry_slack``. The sum over all daemons keeps within the
-    fleet's budget without a message, as long as none counts too few daemons. Windows
-    of daemons end at different moments, so ``retry_ratio`` is to be set a little
-    below the ratio that the fleet may reach.
+    the requests that it received for the service in that window, plus an equal part
+    of ``retry_slack``. The sum over all daemons stays within the fleet's budget
+    without any communication, as long as no daemon counts too few daemons. The
+    windows of daemons are not aligned, so set ``retry_ratio`` slightly below the
+    ratio that the fleet may reach.
 
-    :param count_daemons: returns the number of daemons that is known now.
+    :param count_daemons: returns the number of currently known daemons.
     """
 
     def __init__(
@@ -90,19 +92,19 @@
         self.calls_by_route: dict[str, dict[str, float]] = {}
 
     def record_request(self, service: str) -> None:
-        """Count a request for a service."""
+        """Record a request for a service, which adds to its retry budget."""
         self.max_daemon_count = max(self.max_daemon_count, self.count_daemons())
         self._get_window(self.requests, service).add(1.0, self.clock.monotonic())
 
     def record_calls(self, route: str, calls_per_run: dict[str, float]) -> None:
-        """Note which calls a run of a route makes."""
+        """Record how many calls to each service one run of a route makes."""
         self.calls_by_route[route] = calls_per_run
 
     def try_acquire(self, request: RequestContext) -> bool:
-        """Take one retry from the budget of a request's service if it has one.
+        """Consume one retry of a request from the budgets; return whether it fits.
 
-        The calls that the repeated run makes again are taken from the budgets of the
-        called services.
+        Another run repeats its calls to other services, so these calls are charged to
+        the budgets of the called services.
         """
         costs = self.compute_costs(request)
         if not self.can_afford(costs):
@@ -113,23 +115,23 @@
         return True
 
     def can_acquire(self, request: RequestContext) -> bool:
-        """Tell whether a request may be sent again now."""
+        """Return whether the budgets currently permit a retry of a request."""
         return self.can_afford(self.compute_costs(request))
 
     def can_afford(self, costs: dict[str, float]) -> bool:
-        """Tell whether the budgets have room for some costs, by service."""
+        """Return whether the budgets cover given costs by service."""
         self.max_daemon_count = max(self.max_daemon_count, self.count_daemons())
         return all(self.compute_remaining(name) >= cost for name, cost in costs.items())
 
     def compute_costs(self, request: RequestContext) -> dict[str, float]:
-        """Return what one more run takes from the budgets, by service."""
+        """Return what one more run of a request costs, by service."""
         costs = {request.service: 1.0}
         for called, ratio in self.calls_by_route.get(request.route, {}).items():
             costs[called] = costs.get(called, 0.0) + ratio
         return costs
 
     def compute_remaining(self, service: str) -> float:
-        """Return the retries that this daemon may still make for a service."""
+        """Return how many retries this daemon may still make for a service."""
         allowed = (
             self.settings.retry_ratio * self._get_window(self.requests, service).total
         )
@@ -137,7 +139,7 @@
         return allowed - self._get_window(self.retries, service).total
 
     def compute_remaining_by_service(self) -> dict[str, float]:
-        """Return the retries that this daemon may still make, by service."""
+        """Return how many retries this daemon may still make, by service."""
         return {
             service: self.compute_remaining(service) for service in list(self.requests)
         }
@@ -149,7 +151,7 @@
 
 
 class RetryPolicy:
-    """Decide on retries by verdict, idempotency, attempts, time and budget."""
+    """Decides on retries by verdict, idempotency, attempts, time and budget."""
 
     def __init__(
         self,
@@ -165,7 +167,7 @@
         self.budgets: dict[str, RetryBudget] = {}
 
     def record_first_attempt(self, service: str) -> None:
-        """Add a first attempt's share to the budget of its service."""
+        """Credit a first attempt to the retry budget of its service."""
         if self.shared_budget is not None:
             self.shared_budget.record_request(service)
             return
@@ -188,12 +190,12 @@
         attempts: int,
         sent: int = 0,
     ) -> bool:
-        """Tell whether to send again, and pay for it from the budget.
+        """Return whether to retry a request; if so, charge the budget.
 
         :param request: the request.
         :param error: how the last attempt ended.
         :param attempts: attempts made so far, the first one included.
-        :param sent: those of them that a backend server may have got.
+        :param sent: those of them that may have reached a backend server.
         """
         if not error.verdict.allows_resend(request.idempotent):
             return False
@@ -212,9 +214,9 @@
     def try_acquire_shared_retry(
         self, request: RequestContext, error: RequestError, attempts: int, sent: int
     ) -> bool:
-        """Tell whether to send again within the budget of all daemons.
+        """Return whether to retry within the fleet's budget; if so, charge it.
 
-        What no backend server got costs nothing of the budget until one gets it.
+        Retries are free of charge while no attempt has reached a backend server.
         """
         assert self.shared_budget is not None
         if attempts >= MAX_UNSENT_ATTEMPTS + sent:
@@ -226,12 +228,12 @@
         return not sent or self.shared_budget.try_acquire(request)
 
     def record_calls(self, route: str, calls_per_run: dict[str, float]) -> None:
-        """Note which calls a run of a route makes, and makes again if repeated."""
+        """Record the calls that a run of a route makes, and repeats when retried."""
         if self.shared_budget is not None:
             self.shared_budget.record_calls(route, calls_per_run)
 
     def try_acquire_replacement(self, request: RequestContext, sent: int) -> bool:
-        """Tell whether a failure that a backend server answered is to be replaced."""
+        """Return whether to replace a failed or slow attempt; if so, charge it."""
         if self.shared_budget is None or not request.idempotent:
             return False
         if not self.has_attempts_left(request, sent):
@@ -239,22 +241,22 @@
         return self.has_time_left(request) and self.shared_budget.try_acquire(request)
 
     def can_retry_failure(self, request: RequestContext) -> bool:
-        """Tell whether the failure of a first attempt could be made good."""
+        """Return whether a request could be retried if its first attempt failed."""
         if not request.idempotent or not self.has_attempts_left(request, 1):
             return False
         return self.shared_budget is None or self.shared_budget.can_acquire(request)
 
     def has_attempts_left(self, request: RequestContext, sent: int) -> bool:
-        """Tell whether a request may be sent to one more backend server."""
+        """Return whether a request may be sent to one more backend server."""
         return sent < min(request.max_attempts, self.settings.max_attempts)
 
     def has_time_left(self, request: RequestContext) -> bool:
-        """Tell whether enough time is left for another attempt."""
+        """Return whether enough time is left for another attempt."""
         left = request.deadline - self.clock.monotonic()
         return left.total_seconds() * 1_000 >= MIN_TIME_LEFT_MS
 
     def try_acquire_token(self, service: str) -> bool:
-        """Take one retry from the budget of a service if it has one."""
+        """Consume one retry of a service's budget; return whether there was one."""
         budget = self.get_budget(service)
         if budget.tokens < 1:
             return False
--- a/src/wagtailstep/controllers/route_split.py
+++ b/src/wagtailstep/controllers/route_split.py
@@ -1,4 +1,4 @@
-"""Which service of a split route takes a request."""
+"""Selection of the service for each request of a split route."""
 
 import random
 
@@ -6,12 +6,13 @@
 
 
 class RouteSplitter:
-    """Share the requests of split routes by weight, evenly also in short spans.
+    """Splits the requests of routes by weight, with smooth weighted round robin.
 
-    Each part gathers credit with each request; the one with most takes it and pays.
-    After any number of requests no part is off its share by more than one request.
+    Each request adds a part's weight to its credit. The part with the highest credit
+    gets the request and pays the total weight. After any number of requests no part
+    deviates from its share by more than one request.
 
-    :param rng: lets daemons start at different places of the same pattern.
+    :param rng: makes daemons start at different positions of the same sequence.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -19,7 +20,7 @@
         self.credits: dict[HostRoute, list[float]] = {}
 
     def choose(self, route: HostRoute) -> str:
-        """Return the service that takes the next request of a route."""
+        """Return the service for the next request of a route."""
         parts = route.parts
         if len(parts) == 1:
             return parts[0].service
@@ -38,6 +39,6 @@
         return parts[chosen].service
 
     def remove_replaced(self, route: HostRoute) -> None:
-        """Forget an earlier version of a route."""
+        """Remove the credits of earlier versions of a route."""
         for known in [known for known in self.credits if known.name == route.name]:
             del self.credits[known]
--- a/src/wagtailstep/controllers/routing.py
+++ b/src/wagtailstep/controllers/routing.py
@@ -1,9 +1,9 @@
-"""Choice of a target for each attempt at a request, and admission limits.
+"""Selection of a target for each attempt at a request, and admission limits.
 
-The cost of a target rises with the work that this daemon has outstanding there,
-with its health penalty and with distance. Two targets are drawn by weight and the
-cheaper one is taken, so that idle targets share the work by weight and busy ones
-are relieved.
+The cost of a target rises with this daemon's outstanding requests there, with its
+health penalty and with its distance. Two targets are drawn by weight and the cheaper
+one is selected (power of two choices). Idle targets thus get requests in proportion
+to their weights, and busy ones get fewer.
 """
 
 import itertools
@@ -31,13 +31,14 @@
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.utils.clock import Clock
 
+# Lowest fraction of its weight that a target has in use during slow start.
 MIN_RAMP = 0.05
 CANDIDATES_LIFETIME = timedelta(milliseconds=50)
-# Share of the idempotent requests that go to a doubted target while there is one. A
-# doubt by a mere chance failure then ends in a fraction of a second.
+# Fraction of the idempotent requests that go to a doubted target while there is one,
+# so that a target doubted for a random failure is cleared in a fraction of a second.
 DOUBTED_PROBE_RATIO = 0.25
-# Cost factors. A cold backend server takes about twice as long for its work; a
-# doubted one is likely to fail it, which costs a second attempt.
+# A cold backend server takes about twice as long for a request; a doubted one is
+# likely to fail it, which costs a second attempt.
 STANDING_COST_FACTORS = {
     TargetStanding.GOOD: 1.0,
     TargetStanding.WARMING: 2.0,
@@ -56,8 +57,8 @@
     :param target: the target.
     :param weight: its weight in the table.
     :param effective_weight: weight in use; below ``weight`` during slow start.
-    :param health: this daemon's judgement of it.
-    :param is_avoided: whether that judgement was to avoid it.
+    :param health: this daemon's assessment of its health.
+    :param is_avoided: whether that assessment was to avoid it.
     """
 
     target: Target
@@ -68,18 +69,18 @@
 
     @property
     def is_doubted(self) -> bool:
-        """Tell whether one more outcome would decide what its gate thinks of it."""
+        """Return whether one more outcome would decide the standing at its gate."""
         return self.target.standing is TargetStanding.DOUBTED
 
 
 class CandidatePool:
-    """The candidates of one service, ready for many draws.
+    """The candidates of one service, prepared for repeated draws.
 
     :param candidates: the candidates, at least one.
-    :param created_at: monotonic time when they were found.
-    :param doubted: targets that their gates doubt, for requests that may fail.
-    :param draw_weights: the shares by which candidates are drawn; none takes those of
-        the candidates.
+    :param created_at: monotonic time when they were collected.
+    :param doubted: targets in doubted standing, for requests that can be retried.
+    :param draw_weights: weights by which candidates are drawn; the effective weights
+        if empty.
     """
 
     def __init__(
@@ -97,7 +98,7 @@
         self.mean_weight = sum(weights) / len(weights)
 
     def draw(self, rng: random.Random) -> tuple[Candidate, Candidate]:
-        """Draw two candidates, perhaps the same one twice, by their shares."""
+        """Draw two candidates by weight; they may be the same one."""
         first, second = rng.choices(
             self.candidates, cum_weights=self.cumulative_weights, k=2
         )
@@ -105,11 +106,12 @@
 
 
 class RoutingController:
-    """Admit requests and pick targets; keep the in-flight counts.
+    """Admits requests, picks targets and maintains the in-flight counts.
 
-    The candidates of a service are kept for a moment. Whether the two that are drawn
-    may still take work is looked up at each pick, so a leaving or ejected target is
-    never picked; only a new target or a changed ramp is seen that moment later.
+    The candidates of a service are cached for ``CANDIDATES_LIFETIME``. Each pick
+    checks whether the drawn candidates may still be used, so a leaving or ejected
+    target is never picked. Only new targets and changes of the slow start take
+    effect with that delay.
     """
 
     def __init__(
@@ -129,7 +131,7 @@
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
-        """Take one event; most are ignored, the blackboard is read at each pick."""
+        """Handle one event; most are ignored, as picks read the blackboard."""
         return []
 
     @handle.register
@@ -138,11 +140,12 @@
         return []
 
     def admit(self, request: RequestContext) -> None:
-        """Count a request in; each admitted request needs one :meth:`release`.
+        """Count a request as in flight; each admitted one needs one :meth:`release`.
 
         :raises OverloadedError: if a limit of its service, route or client
             account is reached; the request is not counted then.
-        :raises NoTargetError: if its service is unknown and too many are wanted.
+        :raises NoTargetError: if its service is unknown and this daemon already
+            tracks too many requested services.
         """
         self.requested_services.note_request(request.service)
         check_concurrency(self.blackboard, request)
@@ -152,17 +155,17 @@
         _increment(in_flight.by_route, f"{request.service}/{request.route}")
 
     def release(self, request: RequestContext) -> None:
-        """Count an admitted request out."""
+        """Remove an admitted request from the in-flight counts."""
         in_flight = self.blackboard.in_flight
         _decrement(in_flight.by_service, request.service)
         _decrement(in_flight.by_route, f"{request.service}/{request.route}")
 
     def start_attempt(self, target_id: str) -> None:
-        """Count an attempt at a target in."""
+        """Count an attempt at a target as in flight."""
         _increment(self.blackboard.in_flight.by_target, target_id)
 
     def end_attempt(self, target_id: str) -> None:
-        """Count an attempt at a target out."""
+        """Remove an attempt at a target from the in-flight count."""
         _decrement(self.blackboard.in_flight.by_target, target_id)
 
     def pick(
@@ -173,13 +176,13 @@
     ) -> Target:
         """Pick the target of the next attempt.
 
-        :param service: the service asked for.
-        :param tried: ``target_id`` of targets that failed this request before;
+        :param service: the requested service.
+        :param tried: ``target_id`` of targets where this request already failed;
             picked again only if there is no other.
-        :param may_probe: tells whether a failure could be made good. Such requests go
-            to doubted targets now and then, so that the doubt is soon resolved. Only
-            asked if there is a doubted target.
-        :raises NoTargetError: if no target may take new work.
+        :param may_probe: returns whether the request could be retried after a
+            failure. Some of these requests go to doubted targets, so that the doubt
+            is soon resolved. Only called if there is a doubted target.
+        :raises NoTargetError: if no target accepts requests.
         """
         if tried:
             return self.pick_untried(service, tried)
@@ -194,14 +197,14 @@
             del self.pools[service]
 
     def pick_untried(self, service: str, tried: Collection[str]) -> Target:
-        """Pick a target that was not tried, or any one if all were."""
+        """Pick a target that was not tried, or any target if all were."""
         candidates = self.get_pool(service, fresh=True).candidates
         untried = [c for c in candidates if c.target.target_id not in tried]
         pool = CandidatePool(untried or candidates, self.clock.monotonic())
         return self.choose_cheaper(*pool.draw(self.rng), pool.mean_weight).target
 
     def pick_doubted(self, service: str, tried: Collection[str]) -> Target | None:
-        """Return an untried target that its gate doubts, the least doubted first."""
+        """Pick an untried target in doubted or failing standing, the best one first."""
         doubted = [
             c.target
             for c in self.find_candidates(service)
@@ -214,10 +217,10 @@
         return self.rng.choice([t for t in doubted if t.standing is least])
 
     def get_pool(self, service: str, fresh: bool = False) -> CandidatePool:
-        """Return the candidates of a service, as found not long ago.
+        """Return the candidates of a service, from the cache while it is valid.
 
-        :param fresh: whether to look at the targets now.
-        :raises NoTargetError: if no target may take new work.
+        :param fresh: whether to bypass the cache.
+        :raises NoTargetError: if no target accepts requests.
         """
         now = self.clock.monotonic()
         pool = self.pools.get(service)
@@ -231,8 +234,8 @@
         candidates = self.find_candidates(service)
         if not candidates:
             raise NoTargetError(
-                f"no backend server of service {service!r} takes requests now; "
-                "come back after the time in Retry-After"
+                f"no backend server of service {service!r} currently accepts requests; "
+                "retry after the time in Retry-After"
             )
         usable = self.exclude_avoided(service, candidates)
         kept = exclude_doubted(usable)
@@ -242,17 +245,18 @@
         return pool
 
     def compute_draw_weight(self, candidate: Candidate) -> float:
-        """Return the share by which a candidate is drawn for a first attempt.
+        """Return the weight by which a candidate is drawn for a first attempt.
 
-        Bytes between zones cost, so the own zone gets more than its part. A gate
-        without a free slot says so at once, and further attempts look everywhere.
+        Traffic between zones is charged, so the local zone gets more than its
+        proportional part. A gate without a free slot refuses immediately, and further
+        attempts consider all zones alike.
         """
         if candidate.target.availability_zone == self.settings.availability_zone:
             return candidate.effective_weight
         return candidate.effective_weight * self.settings.requests.other_zone_share
 
     def is_current(self, candidate: Candidate) -> bool:
-        """Tell whether a candidate found not long ago may still be picked."""
+        """Return whether a cached candidate is unchanged and may still be picked."""
         board = self.blackboard
         target_id = candidate.target.target_id
         target = board.targets.by_id.get(target_id)
@@ -267,7 +271,7 @@
         return same_avoidance and board.table.weight(target_id) == candidate.weight
 
     def find_candidates(self, service: str) -> list[Candidate]:
-        """Return the targets that may take new work."""
+        """Return the targets of a service that accept requests."""
         board = self.blackboard
         found = []
         for target_id, target in board.targets.of_service(service).items():
@@ -285,17 +289,17 @@
         return found
 
     def has_live_gate(self, target: Target) -> bool:
-        """Tell whether the daemon beside a target is known and not gone."""
+        """Return whether the daemon beside a target is known and alive or suspect."""
         member = self.blackboard.members.get(target.daemon_id)
         return member is not None and member.state in _USABLE_MEMBERS
 
     def exclude_avoided(
         self, service: str, candidates: list[Candidate]
     ) -> list[Candidate]:
-        """Leave out targets in bad standing as far as the floor permits.
+        """Exclude avoided targets as far as the floor permits.
 
-        :return: candidates with at least the floor's weight if there is so much,
-            never none.
+        :return: at least one candidate, with a total weight of at least the floor if
+            all candidates together have that much.
         """
         kept = [c for c in candidates if not c.is_avoided]
         if len(kept) == len(candidates):
@@ -313,9 +317,9 @@
     def choose_cheaper(
         self, first: Candidate, second: Candidate, mean_weight: float
     ) -> Candidate:
-        """Return the cheaper one of two candidates, the first one if both cost alike.
+        """Return the cheaper of two candidates, or the first one at equal costs.
 
-        :param mean_weight: mean weight in use of all candidates.
+        :param mean_weight: mean effective weight of all candidates.
         """
         if first is second:
             return first
@@ -326,10 +330,10 @@
         return first
 
     def compute_cost(self, candidate: Candidate, mean_weight: float) -> float:
-        """Return the cost of picking a candidate; smaller is better.
+        """Return the cost of picking a candidate; lower is better.
 
-        :param mean_weight: mean weight in use of all candidates; it makes a weight
-            count relative to the others.
+        :param mean_weight: mean effective weight of all candidates, by which the
+            candidate's own one is normalized.
         """
         target = candidate.target
         outstanding = self.blackboard.in_flight.by_target.get(target.target_id, 0)
@@ -340,11 +344,11 @@
 
 
 def exclude_doubted(candidates: list[Candidate]) -> list[Candidate]:
-    """Leave out targets that their gates doubt, unless there is no better one.
+    """Exclude targets in doubted or failing standing, unless there is no better one.
 
-    Gates judge by what fails at their own backend server, so that the others' work
-    never counts against one; a sound target is soon back. Few good ones that refuse
-    what is too much serve more than many that fail it.
+    A gate judges only by failures at its own backend server, so load on other targets
+    never counts against one, and a healthy target soon returns to good standing. A
+    few good targets that refuse excess load serve more than many that fail it.
     """
     for limit in (TargetStanding.DOUBTED, TargetStanding.FAILING):
         kept = [c for c in candidates if c.target.standing < limit]
--- a/src/wagtailstep/controllers/runs.py
+++ b/src/wagtailstep/controllers/runs.py
@@ -1,4 +1,4 @@
-"""Runs of guarded requests that this daemon remembers, with their answers."""
+"""In-memory store of the runs of guarded requests, with their responses."""
 
 import enum
 import itertools
@@ -24,7 +24,7 @@
 
 
 class RunState(enum.Enum):
-    """Where a run is. ``READY`` may start, once; the others never start again."""
+    """State of a run. Only a ``READY`` run may start, and only once."""
 
     READY = "ready"
     RUNNING = "running"
@@ -34,14 +34,14 @@
 
 @attrs.define
 class Run:
-    """One run of a guarded request.
-
-    :param run_id: its name, unique within the daemon.
-    :param service: the service that it is for.
-    :param state: where it is.
-    :param fingerprint: digest of the request that started it; empty before.
-    :param answer: its answer, if it is kept.
-    :param waiting: ``request_id`` of resends that wait for its end.
+    """One run (execution) of a guarded request.
+
+    :param run_id: identifier, unique within the daemon.
+    :param service: the service that executes it.
+    :param state: its current state.
+    :param fingerprint: digest of the request that started it; empty before the start.
+    :param answer: its response, if it is stored.
+    :param waiting: ``request_id`` of repeated requests that wait for its end.
     :param claim: the claim that it runs under; ``None`` for a ticket's run.
     """
 
@@ -55,10 +55,10 @@
 
 
 class RunStore:
-    """A bounded memory of runs.
+    """Bounded store of runs.
 
-    When it is full, the oldest run that is not running is forgotten. The owner of
-    the store must treat a forgotten run as one that may have run.
+    When it is full, the oldest run that is not running is evicted. The owner of the
+    store must treat an evicted run as one that may have run.
     """
 
     def __init__(self, settings: RequestSettings) -> None:
@@ -68,35 +68,35 @@
         self.answers_bytes = 0
 
     def find(self, run_id: str) -> Run | None:
-        """Return a run, or ``None`` if it is unknown or forgotten."""
+        """Return a run, or ``None`` if it is unknown or evicted."""
         return self.by_id.get(run_id)
 
     def add(self, run: Run) -> None:
-        """Remember a run, forgetting old ones where needed."""
+        """Store a run, evicting old ones where needed."""
         self.by_id[run.run_id] = run
         excess = len(self.by_id) - self.settings.tickets_kept
         if excess <= 0:
             return
         idle = (r for r in self.by_id.values() if r.state is not RunState.RUNNING)
-        for forgotten in list(itertools.islice(idle, excess)):
-            self.remove(forgotten.run_id)
+        for evicted in list(itertools.islice(idle, excess)):
+            self.remove(evicted.run_id)
 
     def remove(self, run_id: str) -> None:
-        """Drop a run and its answer, if they are remembered."""
+        """Remove a run and its response, if they are stored."""
         self.by_id.pop(run_id, None)
         self.drop_answer(run_id)
 
     def drop_answer(self, run_id: str) -> None:
-        """Drop the kept answer of a run, if there is one."""
+        """Remove the stored response of a run, if there is one."""
         self.answers_bytes -= self.answer_sizes.pop(run_id, 0)
         run = self.by_id.get(run_id)
         if run is not None:
             run.answer = None
 
     def start(self, run: Run, request_id: str, fingerprint: str) -> Decision:
-        """Start a run, or say how it went or will go.
+        """Start a ready run, or decide by its state about a repeated request.
 
-        :param request_id: the request that asks.
+        :param request_id: the request to decide about.
         :param fingerprint: digest of that request.
         """
         if run.fingerprint and run.fingerprint != fingerprint:
@@ -115,11 +115,11 @@
     ) -> list[RequestDecided]:
         """End a run and decide about the requests that waited for it.
 
-        After a ``NOT_RUN`` end the run is ready again and the first request that
-        waited takes it over.
+        After verdict ``NOT_RUN`` the run is ready again and the first waiting request
+        starts it.
 
         :param verdict: how it ended.
-        :param answer: its whole answer if it is small enough to keep.
+        :param answer: its complete response, if it is small enough to store.
         """
         run.state = _STATE_AFTER[verdict]
         if answer is not None and verdict is Verdict.RUN:
@@ -131,7 +131,7 @@
         ]
 
     def store_answer(self, run: Run, answer: StoredAnswer) -> None:
-        """Keep an answer, dropping the oldest kept ones where needed."""
+        """Store a response, evicting the oldest stored ones where needed."""
         size = compute_answer_size(answer)
         run.answer = answer
         self.answer_sizes[run.run_id] = size
@@ -148,42 +148,42 @@
 
 
 def decide_resend(run: Run) -> Decision:
-    """Decide about the resend of a request that has ended."""
+    """Decide about the repetition of a request whose run has ended."""
     if run.answer is not None:
         return Replay(run.answer)
     if run.state is RunState.RUN:
         return Refuse(
             DuplicateRequestError(
-                "the request has run and its answer is no longer kept; look up its "
-                "effect at the service",
+                "the request was executed and its response is no longer stored; check "
+                "its effect at the service",
                 Verdict.RUN,
             )
         )
-    return Refuse(build_unknown_outcome_error("an earlier sending of it broke off"))
+    return Refuse(build_unknown_outcome_error("an earlier attempt was interrupted"))
 
 
 def build_unknown_outcome_error(cause: str) -> DuplicateRequestError:
-    """Make the error for a keyed request of which nobody knows if it has run.
+    """Return the error for a keyed request that may or may not have been executed.
 
-    :param cause: what is the matter, as a clause.
+    :param cause: why its outcome is unknown, as a clause.
     """
     return DuplicateRequestError(
-        f"the request may have run and is not run again: {cause}; look up its effect "
-        "at the service before sending it with a new key",
+        f"the request may have been executed and is not executed again: {cause}; "
+        "check its effect at the service before sending it with a new key",
         Verdict.MAY_HAVE_RUN,
     )
 
 
 def build_key_mismatch_error() -> BadRequestError:
-    """Make the error for a key that was used for another request."""
+    """Return the error for a key that was used for a different request."""
     return BadRequestError(
-        "this Idempotency-Key was used for another method, path, client account or "
-        "body; send each request with its own key",
+        "this Idempotency-Key was used with a different method, path, client account "
+        "or body; send each request with its own key",
         UNPROCESSABLE,
     )
 
 
 def compute_answer_size(answer: StoredAnswer) -> int:
-    """Return the size of an answer in bytes, headers included."""
+    """Return the size of a response in bytes, including headers."""
     headers = sum(len(name) + len(value) for name, value in answer.headers)
     return headers + len(answer.body)
--- a/src/wagtailstep/controllers/target_queue.py
+++ b/src/wagtailstep/controllers/target_queue.py
@@ -1,4 +1,4 @@
-"""What runs and waits at one backend server, and how long a wait will be."""
+"""Queue of one backend server, with estimates of waiting times."""
 
 import heapq
 from collections import OrderedDict
@@ -9,8 +9,9 @@
 from wagtailstep.controllers.concurrency import ConcurrencyLimit
 from wagtailstep.models.gate import GateRequest
 
-# Share of a request's aim after which it is due. 0 is the order of arrival and 1 that
-# of the aims, which makes long requests late; docs/design/queueing.md has the figures.
+# Fraction of a request's aim after which it is due. 0 orders by arrival; 1 orders by
+# the end of the aim, which makes long requests late. The figures are in
+# docs/design/queueing.md.
 DUE_TIME_RATIO = 0.75
 
 
@@ -20,7 +21,8 @@
 
     :param request: the request.
     :param started_at: monotonic time when it was sent.
-    :param concurrent_others: most other requests that ran at the same time.
+    :param concurrent_others: highest number of other requests that ran at the same
+        time.
     """
 
     request: GateRequest
@@ -30,11 +32,11 @@
 
 @attrs.define
 class TargetQueue:
-    """What runs and waits at one backend server.
+    """Running and waiting requests of one backend server.
 
-    :param limit: how many may run at once.
+    :param limit: limit on the requests that run in parallel.
     :param running: requests that were sent, by serial.
-    :param waiting: requests that wait, by serial, oldest first.
+    :param waiting: requests that wait for a slot, by serial, oldest first.
     """
 
     limit: ConcurrencyLimit
@@ -43,42 +45,42 @@
 
     @property
     def has_free_slot(self) -> bool:
-        """Tell whether one more request may run now."""
+        """Return whether one more request may run now."""
         return len(self.running) < self.limit.max_running
 
     @property
     def load(self) -> float:
-        """Return running and waiting requests per request that may run."""
+        """Return the ratio of running and waiting requests to the concurrency limit."""
         return (len(self.running) + len(self.waiting)) / self.limit.max_running
 
     def expected_duration(self, request: GateRequest) -> timedelta:
-        """Return the time that a request is expected to take."""
+        """Return the expected duration of a request at the backend server."""
         return self.limit.typical_time(request.route)
 
     def has_earlier_waiting(self, request: GateRequest) -> bool:
-        """Tell whether a request waits that goes before a new one."""
+        """Return whether a waiting request has precedence over a new one."""
         order = compute_order(request)
         return any(compute_order(other) <= order for other in self.waiting.values())
 
     def pop_next(self) -> tuple[int, GateRequest]:
-        """Take the first request out of the queue."""
+        """Remove and return the first request of the queue, with its serial."""
         serial = min(
             self.waiting, key=lambda serial: compute_order(self.waiting[serial])
         )
         return serial, self.waiting.pop(serial)
 
     def estimate_wait(self, now: timedelta, request: GateRequest) -> timedelta:
-        """Return how long a request that joins the queue now will wait for a slot.
+        """Return how long a request that joins the queue now would wait for a slot.
 
-        Requests that it goes before are passed.
+        Waiting requests that come after it in the queue's order are ignored.
 
-        The slots are filled in order of the queue, each as it becomes free, so that
-        one long request does not make a queue long whose other slots move on.
+        The estimate assigns each slot, when it becomes free, to the next request of
+        the queue. One long request thus adds no wait while other slots become free.
         """
         free_after = sorted(
             self.estimate_time_left(running, now) for running in self.running.values()
         )
-        # With more running than allowed, the first to end free no slot.
+        # If more requests run than the limit allows, the first to end free no slot.
         free_after = free_after[max(0, len(free_after) - self.limit.max_running) :]
         if len(free_after) < self.limit.max_running:
             free_after.insert(0, timedelta())
@@ -93,17 +95,19 @@
     def estimate_time_left(self, running: RunningRequest, now: timedelta) -> timedelta:
         """Return the time until a running request is expected to end.
 
-        One that takes longer than usual is expected to take half as long again.
+        At least half of its expected duration is returned, also when it has already
+        run for longer than expected.
         """
         expected = self.expected_duration(running.request)
         return max(expected - (now - running.started_at), expected / 2)
 
 
 def compute_order(request: GateRequest) -> tuple[int, timedelta]:
-    """Return what a queue is ordered by: rank, then the time by which it is due.
+    """Return the sort key of a request: its priority, then its due time.
 
-    Requests whose use ends soon are mostly short ones. If they go first, more are
-    answered than in order of arrival; others only wait until their time has come.
+    Requests with an early aim or deadline are mostly short. If they go first, more
+    requests are answered than in order of arrival. Others of the same priority don't
+    starve, since their due times do not move.
     """
     useful_until = request.aim_at or request.deadline
     useful_for = useful_until - request.arrived_at
--- a/src/wagtailstep/controllers/tickets.py
+++ b/src/wagtailstep/controllers/tickets.py
@@ -1,4 +1,4 @@
-"""Tickets: keys that only the daemon that issued them can run, and only once."""
+"""Tickets: idempotency keys that only the issuing daemon executes, and only once."""
 
 import random
 from collections import deque
@@ -23,6 +23,7 @@
 
 SERIAL_BITS = 128
 
+# Unused tickets older than this do not delay a graceful shutdown.
 UNUSED_TICKET_GRACE = timedelta(seconds=10)
 
 _DEAD_STATES = frozenset({MemberState.DEAD})
@@ -31,10 +32,10 @@
 
 @attrs.frozen
 class IssuedTicket:
-    """When a ticket was issued.
+    """A ticket that this daemon issued.
 
-    :param run_id: the ticket.
-    :param issued_at: monotonic time.
+    :param run_id: the ticket as text, which identifies its run.
+    :param issued_at: monotonic time when it was issued.
     """
 
     run_id: str
@@ -42,11 +43,12 @@
 
 
 class TicketIssuer:
-    """Issue tickets and decide about requests that carry one.
+    """Issues tickets and decides about requests that carry one.
 
-    A ticket needs no log, no lease and no clock: whoever is not its issuer never
-    runs it, and the issuer runs what its memory holds as ready, once. A restarted
-    issuer has an empty memory, so it runs none of its older tickets.
+    A ticket needs no log, lease or clock. Daemons other than the issuer never execute
+    its request, and the issuer executes it once, if its run store has the run as
+    ready. A restarted issuer starts with an empty store, so it executes no request
+    with an earlier ticket.
     """
 
     def __init__(
@@ -64,12 +66,14 @@
         self.issued: deque[IssuedTicket] = deque(maxlen=settings.tickets_kept)
 
     def issue(self, service: str) -> Ticket:
-        """Make a ticket for one request to a service.
+        """Issue a ticket for one request to a service.
 
-        :raises LeavingError: if this daemon is about to exit.
+        :raises LeavingError: if this daemon is shutting down.
         """
         if self.blackboard.draining:
-            raise LeavingError("this daemon is leaving; ask another one for a ticket")
+            raise LeavingError(
+                "this daemon is shutting down; request a ticket from another one"
+            )
         member = self.blackboard.this_member
         serial = make_id(self.rng, SERIAL_BITS)
         ticket = Ticket(member.daemon_id, member.incarnation, serial)
@@ -78,10 +82,11 @@
         return ticket
 
     def has_open_tickets(self) -> bool:
-        """Tell whether a ticket issued lately has not been used.
+        """Return whether the run of a recently issued ticket has not ended.
 
-        A daemon that exits then makes its caller's request end as "may have run", so
-        a graceful shutdown waits for a while; see ``UNUSED_TICKET_GRACE``.
+        If the daemon exits then, the caller's request ends as "may have run". A
+        graceful shutdown therefore waits for tickets issued within the last
+        ``UNUSED_TICKET_GRACE``.
         """
         oldest = self.clock.monotonic() - UNUSED_TICKET_GRACE
         for issued in reversed(self.issued):
@@ -103,12 +108,12 @@
             return self.decide_local(ticket, request, fingerprint)
         if request.relayed:
             return Refuse(
-                build_unknown_outcome_error("it was passed to the wrong daemon")
+                build_unknown_outcome_error("it was relayed to the wrong daemon")
             )
         issuer = self.blackboard.members.get(ticket.daemon_id)
         if issuer is None or issuer.state in _DEAD_STATES:
             return Refuse(
-                build_unknown_outcome_error("the issuer of its ticket is gone")
+                build_unknown_outcome_error("the daemon that issued its ticket is gone")
             )
         return PassOn(ticket.daemon_id)
 
@@ -119,13 +124,15 @@
         run = self.runs.find(str(ticket))
         if run is None:
             return Refuse(
-                build_unknown_outcome_error("the issuer has forgotten its ticket")
+                build_unknown_outcome_error(
+                    "the issuing daemon no longer knows its ticket"
+                )
             )
         if run.service != request.service:
             return Refuse(
                 BadRequestError(
                     f"the ticket is for service {run.service!r}, the request for "
-                    f"{request.service!r}; ask for a ticket of the right service"
+                    f"{request.service!r}; request a ticket for the right service"
                 )
             )
         return self.runs.start(run, request.request_id, fingerprint)
