--- a/src/wagtailstep/controllers/claims.py
+++ b/src/wagtailstep/controllers/claims.py
@@ -99,7 +99,7 @@
         self.appender = ClaimAppender(self.stream, settings.daemon_id, boot_id, rng)
         self.pending: dict[bytes, PendingClaim] = {}
         self.releasing_serials: set[int] = set()
-        self.cancelled_claims: OrderedDict[int, None] = OrderedDict()
+        self.cancelled_serials: OrderedDict[int, None] = OrderedDict()
         self.serials = itertools.count(1)
         self.next_offset = 0
 
@@ -218,9 +218,9 @@
         At most ``MAX_CANCELLED_CLAIMS`` are kept. A claim dropped from them is not
         released and continues to hold its key, which is safe.
         """
-        self.cancelled_claims[claim.serial] = None
-        if len(self.cancelled_claims) > MAX_CANCELLED_CLAIMS:
-            self.cancelled_claims.popitem(last=False)
+        self.cancelled_serials[claim.serial] = None
+        if len(self.cancelled_serials) > MAX_CANCELLED_CLAIMS:
+            self.cancelled_serials.popitem(last=False)
 
     def flush(self) -> list[Any]:
         """Start an append of the queued entries, if none is in flight."""
@@ -241,11 +241,13 @@
     def complete_append(self, event: LogAppendSettled) -> list[Any]:
         """Handle the end of the append in flight."""
         sent = self.appender.in_flight_entries
-        lost = self.appender.complete_append(event, self.clock.monotonic())
+        unacknowledged = self.appender.complete_append(event, self.clock.monotonic())
         decided: list[Any] = []
-        if lost and not event.may_have_applied:
-            decided = list(self.refuse_pending(lost))
-        self.appender.requeue([entry for entry in lost if self.must_be_appended(entry)])
+        if unacknowledged and not event.may_have_applied:
+            decided = list(self.refuse_pending(unacknowledged))
+        self.appender.requeue(
+            [entry for entry in unacknowledged if self.must_be_appended(entry)]
+        )
         if event.offset == self.next_offset:
             decided = self.apply_local_batch(sent, event.offset)
         return [*decided, *self.flush()]
@@ -326,7 +328,7 @@
         """
         holder = self.fold.find_holder(entry.key)
         won = holder is not None and matches_claim(holder, self.boot_id, entry)
-        if won and entry.serial in self.cancelled_claims:
+        if won and entry.serial in self.cancelled_serials:
             return self.release_claim(entry)
         run = self.runs.find(self.build_run_id(entry.key))
         if not won and run is not None and run.claim == entry:
@@ -369,9 +371,9 @@
         """Discard the state of expired records; undecided claims are never executed."""
         self.fold.clear()
         self.next_offset = oldest_offset
-        lost, self.pending = self.pending, {}
+        undecided, self.pending = self.pending, {}
         decided = []
-        for pending in lost.values():
+        for pending in undecided.values():
             self.cancel_claim(pending.entry)
             decided += refuse_all(pending, build_log_gap_error)
         return decided
--- a/src/wagtailstep/controllers/concurrency.py
+++ b/src/wagtailstep/controllers/concurrency.py
@@ -47,7 +47,7 @@
         """Return the mean duration of a route's requests; zero if unknown."""
         return timedelta(seconds=self.average_s.get(route, 0.0))
 
-    def record(
+    def record_result(
         self,
         route: str,
         result: RunResult,
--- a/src/wagtailstep/controllers/gate.py
+++ b/src/wagtailstep/controllers/gate.py
@@ -90,7 +90,7 @@
     def admit(self, event: GateRequestArrived) -> list[Any]:
         """Start, queue or refuse a new request."""
         request = event.request
-        error = self.find_refusal(request)
+        error = self.get_refusal_error(request)
         if error is not None:
             return [RefuseRequest(request.serial, error)]
         queue = self.get_queue(request.target_id)
@@ -112,7 +112,7 @@
             self.history.record_ended(running.request)
         else:
             self.history.discard_unstarted(running.request)
-        queue.limit.record(
+        queue.limit.record_result(
             running.request.route,
             event.result,
             running.started_at,
@@ -140,7 +140,7 @@
         """Revoke an attempt if it has not arrived, and report its state."""
         return [TellAttemptState(self.history.revoke(event.attempt_id))]
 
-    def find_refusal(self, request: GateRequest) -> RequestError | None:
+    def get_refusal_error(self, request: GateRequest) -> RequestError | None:
         """Return the error for a request that can't be accepted, or ``None``."""
         if self.history.is_revoked(request.attempt_id):
             return build_revoked_error(request)
@@ -158,11 +158,11 @@
             return NoTargetError(f"{request.target_id} is not beside this daemon")
         if target.state is TargetState.LEAVING:
             return LeavingError(f"{request.target_id} is leaving")
-        if self.is_doubted(request, target):
+        if self.has_insufficient_standing(request, target):
             return DoubtedTargetError(f"{request.target_id} has recently failed")
-        return self.find_overload(request)
+        return self.get_overload_error(request)
 
-    def is_doubted(self, request: GateRequest, target: Target) -> bool:
+    def has_insufficient_standing(self, request: GateRequest, target: Target) -> bool:
         """Return whether a target's standing is too bad for a request.
 
         The entry may have chosen the target before it received the current standing.
@@ -174,7 +174,7 @@
         limit = TargetStanding.FAILING if request.idempotent else TargetStanding.DOUBTED
         return target.standing >= limit
 
-    def find_overload(self, request: GateRequest) -> RequestError | None:
+    def get_overload_error(self, request: GateRequest) -> RequestError | None:
         """Return the error for a request that would wait too long, or ``None``."""
         queue = self.get_queue(request.target_id)
         if queue.has_free_slot and not queue.has_earlier_waiting(request):
--- a/src/wagtailstep/controllers/retries.py
+++ b/src/wagtailstep/controllers/retries.py
@@ -144,10 +144,10 @@
             service: self.compute_remaining(service) for service in list(self.requests)
         }
 
-    def _get_window(self, counted: dict[str, WindowedSum], service: str) -> WindowedSum:
-        amounts = counted.setdefault(service, WindowedSum())
-        amounts.expire_before(self.clock.monotonic() - self.window)
-        return amounts
+    def _get_window(self, sums: dict[str, WindowedSum], service: str) -> WindowedSum:
+        window_sum = sums.setdefault(service, WindowedSum())
+        window_sum.expire_before(self.clock.monotonic() - self.window)
+        return window_sum
 
 
 class RetryPolicy:
@@ -252,8 +252,8 @@
 
     def has_time_left(self, request: RequestContext) -> bool:
         """Return whether enough time is left for another attempt."""
-        left = request.deadline - self.clock.monotonic()
-        return left.total_seconds() * 1_000 >= MIN_TIME_LEFT_MS
+        time_left = request.deadline - self.clock.monotonic()
+        return time_left.total_seconds() * 1_000 >= MIN_TIME_LEFT_MS
 
     def try_acquire_token(self, service: str) -> bool:
         """Consume one retry of a service's budget; return whether there was one."""
--- a/src/wagtailstep/controllers/routing.py
+++ b/src/wagtailstep/controllers/routing.py
@@ -213,8 +213,8 @@
         ]
         if not doubted:
             return None
-        least = min(target.standing for target in doubted)
-        return self.rng.choice([t for t in doubted if t.standing is least])
+        best_standing = min(target.standing for target in doubted)
+        return self.rng.choice([t for t in doubted if t.standing is best_standing])
 
     def get_pool(self, service: str, fresh: bool = False) -> CandidatePool:
         """Return the candidates of a service, from the cache while it is valid.
@@ -366,8 +366,8 @@
 
 
 def _decrement(counts: dict[str, int], key: str) -> None:
-    left = counts[key] - 1
-    if left:
-        counts[key] = left
+    remaining = counts[key] - 1
+    if remaining:
+        counts[key] = remaining
     else:
         del counts[key]
