--- a/src/wagtailstep/controllers/routing.py
+++ b/src/wagtailstep/controllers/routing.py
@@ -204,7 +204,7 @@
         return self.choose_cheaper(*pool.draw(self.rng), pool.mean_weight).target
 
     def pick_doubted(self, service: str, tried: Collection[str]) -> Target | None:
-        """Pick an untried target in doubted or failing standing, the best one first."""
+        """Pick an untried target in doubted standing, else in failing standing."""
         doubted = [
             c.target
             for c in self.find_candidates(service)
