--- a/src/wagtailstep/controllers/load_plan.py
+++ b/src/wagtailstep/controllers/load_plan.py
@@ -1,4 +1,4 @@
-"""Which requests a load consists of, and when they arrive."""
+"""Generation of the requests of a load test and of their arrival times."""
 
 import math
 import random
@@ -16,39 +16,43 @@
 
 @attrs.frozen
 class Arrival:
-    """One request of a slice.
+    """One request of a time slice.
 
-    :param at_s: when it arrives, in seconds since the slice began.
-    :param kind: what is asked for.
-    :param draw: chooses one of the daemons; from 0 to below 1.
-    :param loses_patience: whether its caller gives up early.
+    :param at_s: arrival time in seconds since the start of the slice.
+    :param request_class: class that the request belongs to.
+    :param daemon_draw: random number in [0, 1) that selects one of the daemons.
+    :param cancels_early: whether its caller cancels it before its timeout.
     """
 
     at_s: float
-    kind: LoadClass
-    draw: float
-    loses_patience: bool
+    request_class: LoadClass
+    daemon_draw: float
+    cancels_early: bool
 
 
-def plan_slice(settings: LoadSettings, number: int) -> list[Arrival]:
-    """Draw the arrivals of a slice; they depend on the seed and its number alone."""
-    rng = random.Random(f"{settings.seed}/{number}")
-    shares = [kind.share for kind in settings.classes]
-    most = find_highest_rate(settings.arrivals)
+def plan_slice(settings: LoadSettings, slice_number: int) -> list[Arrival]:
+    """Generate the arrivals of a slice, which depend only on seed and slice number."""
+    rng = random.Random(f"{settings.seed}/{slice_number}")
+    shares = [request_class.share for request_class in settings.classes]
+    max_rate = compute_max_rate(settings.arrivals)
     arrivals = []
-    at_s = rng.expovariate(most)
+    at_s = rng.expovariate(max_rate)
     while at_s < settings.slice_s:
-        # Thinning: of arrivals at the highest rate as many are kept as the rate says.
-        if rng.random() * most < find_rate(settings.arrivals, at_s):
-            (kind,) = rng.choices(settings.classes, shares)
-            gives_up = bool(kind.give_up_ms) and rng.random() < kind.give_up_share
-            arrivals.append(Arrival(at_s, kind, rng.random(), gives_up))
-        at_s += rng.expovariate(most)
+        # Thinning: arrivals are drawn at the maximum rate and kept with probability
+        # rate / max_rate.
+        if rng.random() * max_rate < compute_rate(settings.arrivals, at_s):
+            (request_class,) = rng.choices(settings.classes, shares)
+            cancels_early = (
+                bool(request_class.give_up_ms)
+                and rng.random() < request_class.give_up_share
+            )
+            arrivals.append(Arrival(at_s, request_class, rng.random(), cancels_early))
+        at_s += rng.expovariate(max_rate)
     return arrivals
 
 
-def find_rate(arrivals: ArrivalSettings, at_s: float) -> float:
-    """Return the rate at a moment of a slice, in requests a second."""
+def compute_rate(arrivals: ArrivalSettings, at_s: float) -> float:
+    """Return the arrival rate at a time within a slice, in requests per second."""
     if arrivals.shape == WAVE:
         phase = 2 * math.pi * at_s / arrivals.period_s
         return arrivals.rate_per_s * (1 + arrivals.swing * math.sin(phase))
@@ -59,8 +63,8 @@
     return arrivals.rate_per_s
 
 
-def find_highest_rate(arrivals: ArrivalSettings) -> float:
-    """Return the highest rate of a shape, in requests a second."""
+def compute_max_rate(arrivals: ArrivalSettings) -> float:
+    """Return the maximum arrival rate of a shape, in requests per second."""
     if arrivals.shape == WAVE:
         return arrivals.rate_per_s * (1 + arrivals.swing)
     if arrivals.shape == BURST:
@@ -68,7 +72,7 @@
     return arrivals.rate_per_s
 
 
-def order_sides(settings: LoadSettings, number: int) -> list[int]:
-    """Return the indices of the sides in the order in which a slice is played."""
+def order_sides(settings: LoadSettings, slice_number: int) -> list[int]:
+    """Return the indices of the sides in the order in which a slice runs at them."""
     indices = list(range(len(settings.sides)))
-    return indices if number % 2 == 0 else indices[::-1]
+    return indices if slice_number % 2 == 0 else indices[::-1]
--- a/src/wagtailstep/controllers/routing.py
+++ b/src/wagtailstep/controllers/routing.py
@@ -1,9 +1,9 @@
-"""Choice of a target for each attempt at a request, and admission limits.
+"""Selection of a target for each attempt at a request, and admission limits.
 
-The cost of a target rises with the work that this daemon has outstanding there,
-with its health penalty and with distance. Two targets are drawn by weight and the
-cheaper one is taken, so that idle targets share the work by weight and busy ones
-are relieved.
+The cost of a target rises with this daemon's outstanding requests there, with its
+health penalty and with its distance. Two targets are drawn by weight and the cheaper
+one is selected (power of two choices). Idle targets thus get requests in proportion
+to their weights, and busy ones get fewer.
 """
 
 import itertools
@@ -31,21 +31,22 @@
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.utils.clock import Clock
 
+# Lowest fraction of its weight that a target has in use during slow start.
 MIN_RAMP = 0.05
-CHOICE_LIFETIME = timedelta(milliseconds=50)
-# Share of the idempotent requests that go to a doubted target while there is one. A
-# doubt by a mere chance failure then ends in a fraction of a second.
-PROBE_SHARE = 0.25
-# Cost factors. A cold backend server takes about twice as long for its work; a
-# doubted one is likely to fail it, which costs a second attempt.
-STANDING_COST = {
+CANDIDATES_LIFETIME = timedelta(milliseconds=50)
+# Fraction of the idempotent requests that go to a doubted target while there is one,
+# so that a target doubted for a random failure is cleared in a fraction of a second.
+DOUBTED_PROBE_RATIO = 0.25
+# A cold backend server takes about twice as long for a request; a doubted one is
+# likely to fail it, which costs a second attempt.
+STANDING_COST_FACTORS = {
     TargetStanding.GOOD: 1.0,
     TargetStanding.WARMING: 2.0,
     TargetStanding.DOUBTED: 4.0,
     TargetStanding.FAILING: 16.0,
 }
 
-_IN_GOOD_STANDING = TargetHealth()
+_HEALTHY = TargetHealth()
 _USABLE_MEMBERS = frozenset({MemberState.ALIVE, MemberState.SUSPECT})
 
 
@@ -55,59 +56,62 @@
 
     :param target: the target.
     :param weight: its weight in the table.
-    :param share: its weight in use, smaller than ``weight`` during slow start.
-    :param health: this daemon's judgement of it.
-    :param steered: whether that judgement was to avoid it.
+    :param effective_weight: weight in use; below ``weight`` during slow start.
+    :param health: this daemon's assessment of its health.
+    :param is_avoided: whether that assessment was to avoid it.
     """
 
     target: Target
     weight: float
-    share: float
+    effective_weight: float
     health: TargetHealth
-    steered: bool
+    is_avoided: bool
 
     @property
     def is_doubted(self) -> bool:
-        """Tell whether one more outcome would decide what its gate thinks of it."""
+        """Return whether one more outcome would decide the standing at its gate."""
         return self.target.standing is TargetStanding.DOUBTED
 
 
-class Choice:
-    """The candidates of one service, ready for many draws.
+class CandidatePool:
+    """The candidates of one service, prepared for repeated draws.
 
     :param candidates: the candidates, at least one.
-    :param made: monotonic time when they were found.
-    :param doubted: targets that their gates doubt, for requests that may fail.
-    :param draw_shares: the shares by which candidates are drawn; none takes those of
-        the candidates.
+    :param created_at: monotonic time when they were collected.
+    :param doubted: targets in doubted standing, for requests that can be retried.
+    :param draw_weights: weights by which candidates are drawn; the effective weights
+        if empty.
     """
 
     def __init__(
         self,
         candidates: list[Candidate],
-        made: timedelta,
+        created_at: timedelta,
         doubted: Sequence[Candidate] = (),
-        draw_shares: Sequence[float] = (),
+        draw_weights: Sequence[float] = (),
     ) -> None:
         self.candidates = candidates
         self.doubted = doubted
-        self.made = made
-        shares = [c.share for c in candidates]
-        self.shares = list(itertools.accumulate(draw_shares or shares))
-        self.mean_share = sum(shares) / len(shares)
+        self.created_at = created_at
+        weights = [c.effective_weight for c in candidates]
+        self.cumulative_weights = list(itertools.accumulate(draw_weights or weights))
+        self.mean_weight = sum(weights) / len(weights)
 
     def draw(self, rng: random.Random) -> tuple[Candidate, Candidate]:
-        """Draw two candidates, perhaps the same one twice, by their shares."""
-        first, second = rng.choices(self.candidates, cum_weights=self.shares, k=2)
+        """Draw two candidates by weight; they may be the same one."""
+        first, second = rng.choices(
+            self.candidates, cum_weights=self.cumulative_weights, k=2
+        )
         return first, second
 
 
 class RoutingController:
-    """Admit requests and pick targets; keep the in-flight counts.
+    """Admits requests, picks targets and maintains the in-flight counts.
 
-    The candidates of a service are kept for a moment. Whether the two that are drawn
-    may still take work is looked up at each pick, so a leaving or ejected target is
-    never picked; only a new target or a changed ramp is seen that moment later.
+    The candidates of a service are cached for ``CANDIDATES_LIFETIME``. Each pick
+    checks whether the drawn candidates may still be used, so a leaving or ejected
+    target is never picked. Only new targets and changes of the slow start take
+    effect with that delay.
     """
 
     def __init__(
@@ -121,46 +125,47 @@
         self.blackboard = blackboard
         self.clock = clock
         self.rng = rng
-        self.choices: dict[str, Choice] = {}
-        self.accounts = AccountLimiter(settings.requests, clock)
-        self.wanted = WantedServices(blackboard, clock)
+        self.pools: dict[str, CandidatePool] = {}
+        self.account_limiter = AccountLimiter(settings.requests, clock)
+        self.requested_services = WantedServices(blackboard, clock)
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
-        """Take one event; most are ignored, the blackboard is read at each pick."""
+        """Handle one event; most are ignored, as picks read the blackboard."""
         return []
 
     @handle.register
     def _(self, event: Tick) -> list[Any]:
-        self.wanted.expire()
+        self.requested_services.expire()
         return []
 
     def admit(self, request: RequestContext) -> None:
-        """Count a request in; each admitted request needs one :meth:`release`.
+        """Count a request as in flight; each admitted one needs one :meth:`release`.
 
         :raises OverloadedError: if a limit of its service, route or client
             account is reached; the request is not counted then.
-        :raises NoTargetError: if its service is unknown and too many are wanted.
+        :raises NoTargetError: if its service is unknown and this daemon already
+            tracks too many requested services.
         """
-        self.wanted.note_request(request.service)
+        self.requested_services.note_request(request.service)
         check_concurrency(self.blackboard, request)
-        self.accounts.take(self.blackboard.table, request)
+        self.account_limiter.acquire_token(self.blackboard.table, request)
         in_flight = self.blackboard.in_flight
         _increment(in_flight.by_service, request.service)
         _increment(in_flight.by_route, f"{request.service}/{request.route}")
 
     def release(self, request: RequestContext) -> None:
-        """Count an admitted request out."""
+        """Remove an admitted request from the in-flight counts."""
         in_flight = self.blackboard.in_flight
         _decrement(in_flight.by_service, request.service)
         _decrement(in_flight.by_route, f"{request.service}/{request.route}")
 
     def start_attempt(self, target_id: str) -> None:
-        """Count an attempt at a target in."""
+        """Count an attempt at a target as in flight."""
         _increment(self.blackboard.in_flight.by_target, target_id)
 
     def end_attempt(self, target_id: str) -> None:
-        """Count an attempt at a target out."""
+        """Remove an attempt at a target from the in-flight count."""
         _decrement(self.blackboard.in_flight.by_target, target_id)
 
     def pick(
@@ -171,35 +176,35 @@
     ) -> Target:
         """Pick the target of the next attempt.
 
-        :param service: the service asked for.
-        :param tried: ``target_id`` of targets that failed this request before;
+        :param service: the requested service.
+        :param tried: ``target_id`` of targets where this request already failed;
             picked again only if there is no other.
-        :param may_probe: tells whether a failure could be made good. Such requests go
-            to doubted targets now and then, so that the doubt is soon resolved. Only
-            asked if there is a doubted target.
-        :raises NoTargetError: if no target may take new work.
+        :param may_probe: returns whether the request could be retried after a
+            failure. Some of these requests go to doubted targets, so that the doubt
+            is soon resolved. Only called if there is a doubted target.
+        :raises NoTargetError: if no target accepts requests.
         """
         if tried:
             return self.pick_untried(service, tried)
         while True:
-            choice = self.find_choice(service)
-            if choice.doubted and may_probe() and self.rng.random() < PROBE_SHARE:
-                first = second = self.rng.choice(choice.doubted)
+            pool = self.get_pool(service)
+            if pool.doubted and may_probe() and self.rng.random() < DOUBTED_PROBE_RATIO:
+                first = second = self.rng.choice(pool.doubted)
             else:
-                first, second = choice.draw(self.rng)
+                first, second = pool.draw(self.rng)
             if self.is_current(first) and self.is_current(second):
-                return self.cheaper(first, second, choice.mean_share).target
-            del self.choices[service]
+                return self.choose_cheaper(first, second, pool.mean_weight).target
+            del self.pools[service]
 
     def pick_untried(self, service: str, tried: Collection[str]) -> Target:
-        """Pick a target that was not tried, or any one if all were."""
-        candidates = self.find_choice(service, fresh=True).candidates
+        """Pick a target that was not tried, or any target if all were."""
+        candidates = self.get_pool(service, fresh=True).candidates
         untried = [c for c in candidates if c.target.target_id not in tried]
-        choice = Choice(untried or candidates, self.clock.monotonic())
-        return self.cheaper(*choice.draw(self.rng), choice.mean_share).target
+        pool = CandidatePool(untried or candidates, self.clock.monotonic())
+        return self.choose_cheaper(*pool.draw(self.rng), pool.mean_weight).target
 
-    def find_doubted(self, service: str, tried: Collection[str]) -> Target | None:
-        """Return an untried target that its gate doubts, the least doubted first."""
+    def pick_doubted(self, service: str, tried: Collection[str]) -> Target | None:
+        """Pick an untried target in doubted standing, else in failing standing."""
         doubted = [
             c.target
             for c in self.find_candidates(service)
@@ -208,45 +213,50 @@
         ]
         if not doubted:
             return None
-        least = min(target.standing for target in doubted)
-        return self.rng.choice([t for t in doubted if t.standing is least])
+        best_standing = min(target.standing for target in doubted)
+        return self.rng.choice([t for t in doubted if t.standing is best_standing])
 
-    def find_choice(self, service: str, fresh: bool = False) -> Choice:
-        """Return the candidates of a service, as found not long ago.
+    def get_pool(self, service: str, fresh: bool = False) -> CandidatePool:
+        """Return the candidates of a service, from the cache while it is valid.
 
-        :param fresh: whether to look at the targets now.
-        :raises NoTargetError: if no target may take new work.
+        :param fresh: whether to bypass the cache.
+        :raises NoTargetError: if no target accepts requests.
         """
         now = self.clock.monotonic()
-        choice = self.choices.get(service)
-        if choice is not None and not fresh and now < choice.made + CHOICE_LIFETIME:
-            return choice
-        self.choices.pop(service, None)
+        pool = self.pools.get(service)
+        if (
+            pool is not None
+            and not fresh
+            and now < pool.created_at + CANDIDATES_LIFETIME
+        ):
+            return pool
+        self.pools.pop(service, None)
         candidates = self.find_candidates(service)
         if not candidates:
             raise NoTargetError(
-                f"no backend server of service {service!r} takes requests now; "
-                "come back after the time in Retry-After"
+                f"no backend server of service {service!r} currently accepts requests; "
+                "retry after the time in Retry-After"
             )
-        usable = self.steer(service, candidates)
-        kept = leave_out_doubted(usable)
+        usable = self.exclude_avoided(service, candidates)
+        kept = exclude_doubted(usable)
         doubted = [c for c in usable if c.is_doubted and c not in kept]
-        shares = [self.find_draw_share(c) for c in kept]
-        choice = self.choices[service] = Choice(kept, now, doubted, shares)
-        return choice
+        weights = [self.compute_draw_weight(c) for c in kept]
+        pool = self.pools[service] = CandidatePool(kept, now, doubted, weights)
+        return pool
 
-    def find_draw_share(self, candidate: Candidate) -> float:
-        """Return the share by which a candidate is drawn for a first attempt.
+    def compute_draw_weight(self, candidate: Candidate) -> float:
+        """Return the weight by which a candidate is drawn for a first attempt.
 
-        Bytes between zones cost, so the own zone gets more than its part. A gate
-        without a free slot says so at once, and further attempts look everywhere.
+        Traffic between zones is charged, so the local zone gets more than its
+        proportional part. A gate without a free slot refuses immediately, and further
+        attempts consider all zones alike.
         """
         if candidate.target.availability_zone == self.settings.availability_zone:
-            return candidate.share
-        return candidate.share * self.settings.requests.other_zone_share
+            return candidate.effective_weight
+        return candidate.effective_weight * self.settings.requests.other_zone_share
 
     def is_current(self, candidate: Candidate) -> bool:
-        """Tell whether a candidate found not long ago may still be picked."""
+        """Return whether a cached candidate is unchanged and may still be picked."""
         board = self.blackboard
         target_id = candidate.target.target_id
         target = board.targets.by_id.get(target_id)
@@ -254,85 +264,91 @@
             return False
         if target.standing is not candidate.target.standing:
             return False
-        if target_id in board.ejected or not self.has_gate(target):
+        if target_id in board.ejected or not self.has_live_gate(target):
             return False
-        health = board.health.get(target_id, _IN_GOOD_STANDING)
-        same_standing = health.steer_away == candidate.steered
-        return same_standing and board.table.weight(target_id) == candidate.weight
+        health = board.health.get(target_id, _HEALTHY)
+        same_avoidance = health.steer_away == candidate.is_avoided
+        return same_avoidance and board.table.weight(target_id) == candidate.weight
 
     def find_candidates(self, service: str) -> list[Candidate]:
-        """Return the targets that may take new work."""
+        """Return the targets of a service that accept requests."""
         board = self.blackboard
         found = []
         for target_id, target in board.targets.of_service(service).items():
             if target.state is not TargetState.SERVING or target_id in board.ejected:
                 continue
             weight = board.table.weight(target_id)
-            if weight <= 0 or not self.has_gate(target):
+            if weight <= 0 or not self.has_live_gate(target):
                 continue
-            health = board.health.get(target_id, _IN_GOOD_STANDING)
-            share = weight * max(health.ramp, MIN_RAMP)
-            steered = health.steer_away
-            found.append(Candidate(target, weight, share, health, steered))
+            health = board.health.get(target_id, _HEALTHY)
+            effective_weight = weight * max(health.ramp, MIN_RAMP)
+            is_avoided = health.steer_away
+            found.append(
+                Candidate(target, weight, effective_weight, health, is_avoided)
+            )
         return found
 
-    def has_gate(self, target: Target) -> bool:
-        """Tell whether the daemon beside a target is known and not gone."""
+    def has_live_gate(self, target: Target) -> bool:
+        """Return whether the daemon beside a target is known and alive or suspect."""
         member = self.blackboard.members.get(target.daemon_id)
         return member is not None and member.state in _USABLE_MEMBERS
 
-    def steer(self, service: str, candidates: list[Candidate]) -> list[Candidate]:
-        """Leave out targets in bad standing as far as the floor permits.
+    def exclude_avoided(
+        self, service: str, candidates: list[Candidate]
+    ) -> list[Candidate]:
+        """Exclude avoided targets as far as the floor permits.
 
-        :return: candidates with at least the floor's weight if there is so much,
-            never none.
+        :return: at least one candidate, with a total weight of at least the floor if
+            all candidates together have that much.
         """
-        kept = [c for c in candidates if not c.steered]
+        kept = [c for c in candidates if not c.is_avoided]
         if len(kept) == len(candidates):
             return candidates
         floor = self.blackboard.table.service_row(service).floor_weight
         weight = sum(c.weight for c in kept)
-        avoided = [c for c in candidates if c.steered]
-        for candidate in sorted(avoided, key=_standing):
+        avoided = [c for c in candidates if c.is_avoided]
+        for candidate in sorted(avoided, key=_avoidance_order):
             if kept and weight >= floor:
                 break
             kept.append(candidate)
             weight += candidate.weight
         return kept
 
-    def cheaper(
-        self, first: Candidate, second: Candidate, mean_share: float
+    def choose_cheaper(
+        self, first: Candidate, second: Candidate, mean_weight: float
     ) -> Candidate:
-        """Return the cheaper one of two candidates, the first one if both cost alike.
+        """Return the cheaper of two candidates, or the first one at equal costs.
 
-        :param mean_share: mean weight in use of all candidates.
+        :param mean_weight: mean effective weight of all candidates.
         """
         if first is second:
             return first
-        if self.cost(second, mean_share) < self.cost(first, mean_share):
+        if self.compute_cost(second, mean_weight) < self.compute_cost(
+            first, mean_weight
+        ):
             return second
         return first
 
-    def cost(self, candidate: Candidate, mean_share: float) -> float:
-        """Return the cost of picking a candidate; smaller is better.
+    def compute_cost(self, candidate: Candidate, mean_weight: float) -> float:
+        """Return the cost of picking a candidate; lower is better.
 
-        :param mean_share: mean weight in use of all candidates; it makes a weight
-            count relative to the others.
+        :param mean_weight: mean effective weight of all candidates, by which the
+            candidate's own one is normalized.
         """
         target = candidate.target
         outstanding = self.blackboard.in_flight.by_target.get(target.target_id, 0)
-        cost = 1 + outstanding * mean_share / candidate.share
+        cost = 1 + outstanding * mean_weight / candidate.effective_weight
         if target.availability_zone != self.settings.availability_zone:
             cost *= self.settings.requests.other_zone_cost
-        return cost * candidate.health.penalty * STANDING_COST[target.standing]
+        return cost * candidate.health.penalty * STANDING_COST_FACTORS[target.standing]
 
 
-def leave_out_doubted(candidates: list[Candidate]) -> list[Candidate]:
-    """Leave out targets that their gates doubt, unless there is no better one.
+def exclude_doubted(candidates: list[Candidate]) -> list[Candidate]:
+    """Exclude targets in doubted or failing standing, unless there is no better one.
 
-    Gates judge by what fails at their own backend server, so that the others' work
-    never counts against one; a sound target is soon back. Few good ones that refuse
-    what is too much serve more than many that fail it.
+    A gate judges only by failures at its own backend server, so load on other targets
+    never counts against one, and a healthy target soon returns to good standing. A
+    few good targets that refuse excess load serve more than many that fail it.
     """
     for limit in (TargetStanding.DOUBTED, TargetStanding.FAILING):
         kept = [c for c in candidates if c.target.standing < limit]
@@ -341,7 +357,7 @@
     return candidates
 
 
-def _standing(candidate: Candidate) -> tuple[float, str]:
+def _avoidance_order(candidate: Candidate) -> tuple[float, str]:
     return candidate.health.penalty, candidate.target.target_id
 
 
@@ -350,8 +366,8 @@
 
 
 def _decrement(counts: dict[str, int], key: str) -> None:
-    left = counts[key] - 1
-    if left:
-        counts[key] = left
+    remaining = counts[key] - 1
+    if remaining:
+        counts[key] = remaining
     else:
         del counts[key]
