--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -125,7 +125,9 @@
         restart_daemons(bus, case.restarts, WARM_UP_S, WARM_UP_S + DURATION_S)
     load = measure(bus, WARM_UP_S, DURATION_S)
     observed = [bus.nodes[name] for name in bus.observed]
-    interested = [len(node.controllers[1].interest.needed) for node in observed]
+    interested = [
+        len(node.controllers[1].interest.needed_by_member) for node in observed
+    ]
     missing, needed = count_missing(bus)
     mean = sum(interested) / len(interested)
     lapses = count_lapses(bus) - bus.lapses_before
--- a/benchmarks/control_memory.py
+++ b/benchmarks/control_memory.py
@@ -98,7 +98,7 @@
     dissemination.handle(Tick())
     for index in range(members):
         entry = make_entry(index)
-        if entry.daemon_id in dissemination.interest.needed:
+        if entry.daemon_id in dissemination.interest.needed_by_member:
             event = PeerMessageReceived(entry.daemon_id, make_update(entry))
             dissemination.handle(event)
     return membership, dissemination
--- a/features/steps/control_bus_steps.py
+++ b/features/steps/control_bus_steps.py
@@ -72,9 +72,9 @@
     context.bus.rules.delay_ms = (0.5, 80.0)
 
 
-def count_ages_from_arrival(self, daemon_id, beat, made_at, version):
-    self.last_beats.pop(daemon_id, None)
-    return RENEW(self, daemon_id, beat, made_at, version)
+def count_ages_from_arrival(self, daemon_id, heartbeat, made_at, version):
+    self.last_heartbeats.pop(daemon_id, None)
+    return RENEW(self, daemon_id, heartbeat, made_at, version)
 
 
 RENEW = TargetLeases.renew
@@ -85,11 +85,11 @@
         (dissemination, "_age_units", lambda age: 0),
     ],
     "nobody asks others and nobody refutes": [
-        (Prober, "ask_others", lambda self, now: []),
+        (Prober, "request_indirect_probes", lambda self, now: []),
         (MembershipController, "_refute", lambda self, incarnation, state: []),
     ],
     "forgotten daemons leave no trace": [
-        (MemberTable, "bury", lambda self, daemon_id, incarnation: None),
+        (MemberTable, "add_tombstone", lambda self, daemon_id, incarnation: None),
     ],
 }
 
--- a/features/steps/table_races_steps.py
+++ b/features/steps/table_races_steps.py
@@ -29,7 +29,7 @@
 class HastyController(TableController):
     """Puts any first table in force, however old."""
 
-    def check_known(self):
+    def activate_first_table(self):
         if self.reader.position < 0 or self.blackboard.table_known:
             return []
         self.blackboard.table_known = True
@@ -40,7 +40,7 @@
     """Puts what it read from the log in force while nobody else has it."""
 
     def hold_records(self, records):
-        return self.take_log_records(records)
+        return self.apply_log_records(records)
 
 
 class LenientFold(TableFold):
--- a/features/steps/timeline_steps.py
+++ b/features/steps/timeline_steps.py
@@ -49,7 +49,7 @@
 def record_and_send(context, first, kind, second):
     context.timelines[first].record(kind, {})
     stamp = context.timelines[first].stamp_message()
-    context.timelines[second].witness_message(stamp)
+    context.timelines[second].observe_message(stamp)
 
 
 @when('daemon "{name}" records "{kind}"')
--- a/src/wagtailstep/controllers/announcements.py
+++ b/src/wagtailstep/controllers/announcements.py
@@ -25,7 +25,7 @@
 MAX_REGISTRATIONS = 64
 # An announcement is seconds late at the most. Beyond that a clock that was set back is
 # the likelier reason for a start that seems to lie before a withdrawal.
-LATE_ANNOUNCEMENTS = timedelta(seconds=10)
+MAX_ANNOUNCEMENT_DELAY = timedelta(seconds=10)
 
 
 @attrs.define
@@ -46,16 +46,16 @@
 
     :param born: when its process started.
     :param sequence: number of the announcement.
-    :param left: whether that process said that it leaves.
-    :param forget_at: monotonic time when it is forgotten; ``None`` for never.
+    :param has_withdrawn: whether that process said that it leaves.
+    :param expires_at: monotonic time when it is forgotten; ``None`` for never.
     """
 
     born: int = 0
     sequence: int = 0
-    left: bool = False
-    forget_at: timedelta | None = None
+    has_withdrawn: bool = False
+    expires_at: timedelta | None = None
 
-    def take(self, born: int, sequence: int) -> bool:
+    def apply_announcement(self, born: int, sequence: int) -> bool:
         """Take an announcement.
 
         :return: whether it is newer than all before it.
@@ -63,8 +63,8 @@
         if born and born < self.born:
             return False
         if born > self.born:
-            self.born, self.sequence, self.left = born, sequence, False
-            self.forget_at = None
+            self.born, self.sequence, self.has_withdrawn = born, sequence, False
+            self.expires_at = None
             return True
         if sequence and sequence <= self.sequence:
             return False
@@ -101,10 +101,10 @@
     @handle.register
     def _(self, event: TargetAnnounced) -> list[Any]:
         target_id = event.target.target_id
-        if not self._is_newest(event):
+        if not self._register(event):
             return []
         if event.target.state is TargetState.LEAVING:
-            self.registrations[target_id].left = True
+            self.registrations[target_id].has_withdrawn = True
             return self._start_leaving(target_id, "announced")
         known = self.blackboard.targets.get(target_id)
         lease = self.leases.get(target_id)
@@ -118,29 +118,29 @@
             renewed = attrs.evolve(
                 event.target,
                 incarnation=known.incarnation,
-                standing=_keep_judgement(known.standing, event.target.standing),
+                standing=_merge_standing(known.standing, event.target.standing),
             )
-            return self._store(self._fit(renewed), known)
+            return self._store(self._with_daemon_attributes(renewed), known)
         target = attrs.evolve(event.target, incarnation=self._next_incarnation())
-        return self._store(self._fit(target), known)
+        return self._store(self._with_daemon_attributes(target), known)
 
-    def _is_newest(self, event: TargetAnnounced) -> bool:
+    def _register(self, event: TargetAnnounced) -> bool:
         """Tell whether an announcement is neither late nor of a process that left."""
         target = event.target
-        if event.born and event.born < self._born_at(target.address):
+        if event.born and event.born < self._latest_start_at(target.address):
             return False
         registration = self.registrations.setdefault(target.target_id, Registration())
         self.registrations.move_to_end(target.target_id)
         while len(self.registrations) > MAX_REGISTRATIONS:
             self.registrations.popitem(last=False)
-        if not registration.take(event.born, event.sequence):
+        if not registration.apply_announcement(event.born, event.sequence):
             return False
-        if registration.left and event.born:
+        if registration.has_withdrawn and event.born:
             return False
-        self._replace_at(target)
+        self._remove_replaced(target)
         return True
 
-    def _born_at(self, address: str) -> int:
+    def _latest_start_at(self, address: str) -> int:
         """Return when the newest process known at an address started."""
         board = self.blackboard
         return max(
@@ -152,13 +152,13 @@
             default=0,
         )
 
-    def _replace_at(self, target: Target) -> None:
+    def _remove_replaced(self, target: Target) -> None:
         """Drop an older backend server whose address another one has now."""
         board = self.blackboard
         for name in list(board.local_targets):
             same = target.address and board.targets[name].address == target.address
             if same and name != target.target_id:
-                self._remove(name)
+                self._remove_target(name)
 
     @handle.register
     def _(self, event: TargetWithdrawn) -> list[Any]:
@@ -175,9 +175,9 @@
             # It was announced to an earlier process of this daemon. Announcements that
             # it made before are late ones from now on.
             name = f"{event.service}/{event.instance_id}"
-            forget_at = self.clock.monotonic() + LATE_ANNOUNCEMENTS
+            expires_at = self.clock.monotonic() + MAX_ANNOUNCEMENT_DELAY
             self.registrations[name] = Registration(
-                born=event.at, left=True, forget_at=forget_at
+                born=event.at, has_withdrawn=True, expires_at=expires_at
             )
             return []
         effects: list[Any] = []
@@ -188,30 +188,30 @@
     def _withdraw(self, target_id: str) -> list[Any]:
         registration = self.registrations.get(target_id)
         if registration is not None:
-            registration.left = True
+            registration.has_withdrawn = True
         return self._start_leaving(target_id, "withdrawn")
 
     @handle.register
     def _(self, event: Tick) -> list[Any]:
         effects: list[Any] = []
-        self._forget_registrations()
+        self._expire_registrations()
         for target_id, lease in list(self.leases.items()):
-            effects += self._check(target_id, lease)
+            effects += self._check_lease(target_id, lease)
         return effects
 
-    def _forget_registrations(self) -> None:
+    def _expire_registrations(self) -> None:
         now = self.clock.monotonic()
         for name, registration in list(self.registrations.items()):
-            if registration.forget_at is not None and now >= registration.forget_at:
+            if registration.expires_at is not None and now >= registration.expires_at:
                 del self.registrations[name]
 
-    def _check(self, target_id: str, lease: LocalLease) -> list[Any]:
+    def _check_lease(self, target_id: str, lease: LocalLease) -> list[Any]:
         now = self.clock.monotonic()
         if lease.leaving_since is not None:
             service = self.blackboard.targets[target_id].service
             limit = self.blackboard.table.service_row(service).drain_limit
             over = now - lease.leaving_since >= limit
-            return self._remove(target_id) if over else []
+            return self._remove_target(target_id) if over else []
         if self.blackboard.draining:
             return self._start_leaving(target_id, "daemon-draining")
         limit = timedelta(milliseconds=self.settings.announce_lease_ms)
@@ -219,7 +219,7 @@
             return self._start_leaving(target_id, "lapsed")
         return []
 
-    def _fit(self, target: Target) -> Target:
+    def _with_daemon_attributes(self, target: Target) -> Target:
         this = self.blackboard.this_member
         state = TargetState.LEAVING if self.blackboard.draining else target.state
         return attrs.evolve(
@@ -256,13 +256,13 @@
         fields = {"target": target_id, "reason": reason}
         return [RecordEvent("target-leaving", fields)]
 
-    def _remove(self, target_id: str) -> list[Any]:
+    def _remove_target(self, target_id: str) -> list[Any]:
         del self.leases[target_id]
         self.blackboard.targets.pop(target_id, None)
         self.blackboard.local_targets.discard(target_id)
         return [RecordEvent("target-gone", {"target": target_id})]
 
 
-def _keep_judgement(known: TargetStanding, announced: TargetStanding) -> TargetStanding:
+def _merge_standing(known: TargetStanding, announced: TargetStanding) -> TargetStanding:
     """Return a gate's judgement of a target, or else what the target says."""
     return known if known >= TargetStanding.DOUBTED else announced
--- a/src/wagtailstep/controllers/digests.py
+++ b/src/wagtailstep/controllers/digests.py
@@ -23,39 +23,39 @@
         self.settings = settings
         self.interest = interest
         self.rng = rng
-        self.waiting: dict[str, dict[str, int]] = {}
+        self.pending_sends: dict[str, dict[str, int]] = {}
 
     def add(self, daemon_id: str, services: frozenset[str]) -> None:
         """Queue the newest heartbeat of a daemon for the peers of its services."""
         for service in services:
-            names = self.waiting.setdefault(service, {})
+            names = self.pending_sends.setdefault(service, {})
             names[daemon_id] = self.settings.digest_sends
 
-    def take(self) -> dict[str, list[str]]:
+    def pop_round(self) -> dict[str, list[str]]:
         """Return what goes to whom in this round.
 
         :return: names of the daemons whose heartbeats are sent, by receiver.
         """
         plan: dict[str, set[str]] = {}
         chosen: set[str] = set()
-        for service in sorted(self.waiting):
-            names = self.waiting[service]
+        for service in sorted(self.pending_sends):
+            names = self.pending_sends[service]
             peers = self.interest.choose_peers(
                 service, self.settings.digest_fanout, chosen, self.rng
             )
             chosen.update(peers)
             for peer in peers:
                 plan.setdefault(peer, set()).update(names)
-            self._count(service, len(peers))
+            self._count_sends(service, len(peers))
         return {peer: sorted(names - {peer}) for peer, names in plan.items()}
 
-    def _count(self, service: str, sent: int) -> None:
+    def _count_sends(self, service: str, sent: int) -> None:
         left = {
             name: count - sent
-            for name, count in self.waiting[service].items()
+            for name, count in self.pending_sends[service].items()
             if count > sent
         }
         if left and sent:
-            self.waiting[service] = left
+            self.pending_sends[service] = left
         else:
-            del self.waiting[service]
+            del self.pending_sends[service]
--- a/src/wagtailstep/controllers/dissemination.py
+++ b/src/wagtailstep/controllers/dissemination.py
@@ -8,7 +8,7 @@
 from wagtailstep.controllers.digests import DigestQueue
 from wagtailstep.controllers.interest import InterestIndex
 from wagtailstep.controllers.pulls import PullSchedule
-from wagtailstep.controllers.target_leases import TargetLeases, is_lacking
+from wagtailstep.controllers.target_leases import TargetLeases, needs_pull
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import (
     PeerMessageReceived,
@@ -31,15 +31,15 @@
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.utils.clock import Clock
 
-ROUNDS_PER_RENEWAL = 3
-OWN_UPDATE_FANOUT = 8
+DIGEST_ROUNDS_PER_RENEWAL = 3
+LOCAL_UPDATE_FANOUT = 8
 # Up to as many peers are told of a change directly, which is one message for each.
 DIRECT_FANOUT = 32
 FORWARD_FANOUT = 4
 PULLS_PER_TICK = 10
-REFRESH_SHARE_OF_LEASE = 0.65
-MAX_VERSION = 0xFFFF
-STALE_OWN_BEATS = 100
+REFRESH_LEASE_FRACTION = 0.65
+VERSION_MASK = 0xFFFF
+STALE_HEARTBEAT_LAG = 100
 
 
 class DisseminationController:
@@ -66,16 +66,16 @@
         self.interest = InterestIndex(blackboard)
         self.leases = TargetLeases(blackboard, self.lease)
         self.digests = DigestQueue(self.settings, self.interest, rng)
-        self.reference = member_reference(blackboard.this_member.daemon_id)
+        self.local_reference = member_reference(blackboard.this_member.daemon_id)
         self.started_at = clock.monotonic()
-        self.beat = 0
-        self.beat_at = timedelta()
+        self.heartbeat = 0
+        self.heartbeat_at = timedelta()
         self.version = 0
-        self.own_targets: tuple[Target, ...] = ()
+        self.advertised_targets: tuple[Target, ...] = ()
         # Daemons that start together don't renew in step.
         first_ms = self.settings.renew_ms * rng.random()
         self.renew_at = self.started_at + timedelta(milliseconds=first_ms)
-        self.round_at = timedelta()
+        self.next_digest_at = timedelta()
         self.pulls = PullSchedule()
         # Looking up a single-dispatch method costs more than calling it.
         self.receive = self._receive
@@ -89,10 +89,10 @@
     def _(self, event: Tick) -> list[Any]:
         now = self.clock.monotonic()
         if self.interest.refresh(now):
-            self._drop_useless()
-        effects = self._push_own_changes(now)
-        effects += self._lapse(now)
-        self._renew(now)
+            self._discard_unneeded()
+        effects = self._push_local_changes(now)
+        effects += self._expire_leases(now)
+        self._renew_local_targets(now)
         effects += self._send_digests(now)
         effects += self._pull(now)
         return effects
@@ -116,36 +116,36 @@
             if not 0 <= age * AGE_UNIT_MS <= self.settings.lease_ms:
                 continue
             made_at = now - timedelta(milliseconds=age * AGE_UNIT_MS)
-            if reference == self.reference:
-                self._surpass(beat)
+            if reference == self.local_reference:
+                self._advance_heartbeat(beat)
                 continue
-            daemon_id = self.interest.references.get(reference)
+            daemon_id = self.interest.daemon_ids.get(reference)
             if daemon_id is None:
                 continue
             if self.leases.renew(daemon_id, beat, made_at, version):
-                self.pulls.forget(daemon_id)
-                self.digests.add(daemon_id, self.interest.needed[daemon_id])
+                self.pulls.discard(daemon_id)
+                self.digests.add(daemon_id, self.interest.needed_by_member[daemon_id])
             elif daemon_id == sender:
-                effects += self._answer_stale_owner(sender, beat)
+                effects += self._correct_stale_heartbeat(sender, beat)
         return effects
 
     @_receive.register
     def _(self, message: DigestRequest, sender: str) -> list[Any]:
-        names = [self.interest.references.get(ref) for ref in message.references]
-        rows = self._make_rows([name for name in names if name is not None])
-        if self.reference in message.references:
-            rows += self._own_row()
+        names = [self.interest.daemon_ids.get(ref) for ref in message.references]
+        rows = self._build_rows([name for name in names if name is not None])
+        if self.local_reference in message.references:
+            rows += self._build_local_row()
         if not rows:
             return []
-        return [SendToPeer(message.reply_to, Digest(self.beat, tuple(rows)))]
+        return [SendToPeer(message.reply_to, Digest(self.heartbeat, tuple(rows)))]
 
     @_receive.register
     def _(self, message: TargetsRequest, sender: str) -> list[Any]:
         services = frozenset(message.services)
         if message.daemon_id == self.blackboard.this_member.daemon_id:
-            update = self._own_update(services)
+            update = self._build_local_update(services)
         else:
-            update = self._held_update(message.daemon_id, services)
+            update = self._build_held_update(message.daemon_id, services)
         return [] if update is None else [SendToPeer(message.reply_to, update)]
 
     @_receive.register
@@ -163,8 +163,8 @@
             return []
         if not changed:
             return []
-        self.pulls.forget(message.daemon_id)
-        needed = self.interest.needed.get(message.daemon_id, frozenset())
+        self.pulls.discard(message.daemon_id)
+        needed = self.interest.needed_by_member.get(message.daemon_id, frozenset())
         self.digests.add(message.daemon_id, needed)
         effects = self._record_leaving(message)
         if message.urgent:
@@ -187,159 +187,159 @@
             if peer.daemon_id in (sender, update.daemon_id):
                 continue
             covered = services.intersection(peer.services)
-            held = self._held_update(update.daemon_id, covered, urgent=True)
-            if held is not None:
-                effects.append(SendToPeer(peer.peer_address, held, urgent=True))
+            forwarded = self._build_held_update(update.daemon_id, covered, urgent=True)
+            if forwarded is not None:
+                effects.append(SendToPeer(peer.peer_address, forwarded, urgent=True))
         return effects
 
-    def _next_beat(self, now: timedelta) -> None:
+    def _start_heartbeat(self, now: timedelta) -> None:
         uptime_ms = (now - self.started_at) // timedelta(milliseconds=1)
         wall_ms = self.blackboard.this_member.incarnation + uptime_ms
-        self.beat = max(self.beat + 1, (wall_ms - BEAT_EPOCH_MS) // BEAT_MS)
-        self.beat_at = now
+        self.heartbeat = max(self.heartbeat + 1, (wall_ms - BEAT_EPOCH_MS) // BEAT_MS)
+        self.heartbeat_at = now
 
-    def _surpass(self, beat: int) -> None:
+    def _advance_heartbeat(self, heartbeat: int) -> None:
         # An earlier run of this daemon got further, since the wall clock was ahead.
-        self.beat = max(self.beat, beat)
+        self.heartbeat = max(self.heartbeat, heartbeat)
 
-    def _answer_stale_owner(self, sender: str, beat: int) -> list[Any]:
+    def _correct_stale_heartbeat(self, sender: str, heartbeat: int) -> list[Any]:
         member = self.blackboard.members.get(sender)
-        last = self.leases.last_beats[sender]
-        if member is None or last - beat < STALE_OWN_BEATS:
+        last = self.leases.last_heartbeats[sender]
+        if member is None or last - heartbeat < STALE_HEARTBEAT_LAG:
             return []
-        row = (member_reference(sender), last - self.beat, 0, 0)
-        return [SendToPeer(member.peer_address, Digest(self.beat, row))]
+        row = (member_reference(sender), last - self.heartbeat, 0, 0)
+        return [SendToPeer(member.peer_address, Digest(self.heartbeat, row))]
 
-    def _renew(self, now: timedelta) -> None:
-        if now < self.renew_at or not self.own_targets:
+    def _renew_local_targets(self, now: timedelta) -> None:
+        if now < self.renew_at or not self.advertised_targets:
             return
         self.renew_at = now + timedelta(milliseconds=self.settings.renew_ms)
-        self._next_beat(now)
-        services = frozenset(target.service for target in self.own_targets)
+        self._start_heartbeat(now)
+        services = frozenset(target.service for target in self.advertised_targets)
         self.digests.add(self.blackboard.this_member.daemon_id, services)
 
-    def _push_own_changes(self, now: timedelta) -> list[Any]:
+    def _push_local_changes(self, now: timedelta) -> list[Any]:
         board = self.blackboard
         targets = tuple(board.targets[name] for name in sorted(board.local_targets))
-        if targets == self.own_targets:
+        if targets == self.advertised_targets:
             return []
-        services = frozenset(t.service for t in targets + self.own_targets)
-        self.own_targets = targets
-        self._next_beat(now)
-        self.version = self.beat & MAX_VERSION
+        services = frozenset(t.service for t in targets + self.advertised_targets)
+        self.advertised_targets = targets
+        self._start_heartbeat(now)
+        self.version = self.heartbeat & VERSION_MASK
         self.digests.add(board.this_member.daemon_id, services)
-        everybody = self.interest.choose_interested(services, DIRECT_FANOUT, self.rng)
+        interested = self.interest.choose_interested(services, DIRECT_FANOUT, self.rng)
         # Few peers are told directly. Passing the news on costs several copies for
         # each of them, which only a larger number makes up for.
-        spreads = len(everybody) == DIRECT_FANOUT
-        peers = everybody[:OWN_UPDATE_FANOUT] if spreads else everybody
+        needs_forwarding = len(interested) == DIRECT_FANOUT
+        peers = interested[:LOCAL_UPDATE_FANOUT] if needs_forwarding else interested
         effects = []
         for peer in peers:
             covered = services.intersection(peer.services)
-            update = self._own_update(covered, urgent=spreads)
+            update = self._build_local_update(covered, urgent=needs_forwarding)
             effects.append(SendToPeer(peer.peer_address, update, urgent=True))
         return effects
 
-    def _own_update(
+    def _build_local_update(
         self, services: frozenset[str], urgent: bool = False
     ) -> TargetsUpdate:
         this = self.blackboard.this_member
-        age = self.clock.monotonic() - self.beat_at
+        age = self.clock.monotonic() - self.heartbeat_at
         return TargetsUpdate(
             daemon_id=this.daemon_id,
             availability_zone=this.availability_zone,
-            beat=self.beat,
+            beat=self.heartbeat,
             age_ms=age // timedelta(milliseconds=1),
             version=self.version,
             services=tuple(sorted(services)),
-            targets=_make_entries(self.own_targets, services),
+            targets=_build_entries(self.advertised_targets, services),
             urgent=urgent,
         )
 
-    def _held_update(
+    def _build_held_update(
         self, daemon_id: str, services: frozenset[str], urgent: bool = False
     ) -> TargetsUpdate | None:
-        holding = self.leases.holdings.get(daemon_id)
+        held = self.leases.held_targets.get(daemon_id)
         member = self.blackboard.members.get(daemon_id)
-        if holding is None or member is None or not holding.published:
+        if held is None or member is None or not held.published:
             return None
-        covered = services & holding.services
-        if holding.held_version != holding.version or not covered:
+        covered = services & held.services
+        if held.targets_version != held.newest_version or not covered:
             return None
-        age = self.clock.monotonic() - holding.renewed_at
+        age = self.clock.monotonic() - held.renewed_at
         return TargetsUpdate(
             daemon_id=daemon_id,
             availability_zone=member.availability_zone,
-            beat=holding.beat,
+            beat=held.heartbeat,
             age_ms=-(-age // timedelta(milliseconds=1)),
-            version=holding.held_version,
+            version=held.targets_version,
             services=tuple(sorted(covered)),
-            targets=_make_entries(holding.targets, covered),
+            targets=_build_entries(held.targets, covered),
             urgent=urgent,
         )
 
-    def _lapse(self, now: timedelta) -> list[Any]:
+    def _expire_leases(self, now: timedelta) -> list[Any]:
         return [
             RecordEvent("targets-lapsed", {"member": daemon_id})
             for daemon_id in self.leases.lapse(now)
         ]
 
-    def _drop_useless(self) -> None:
-        for daemon_id, holding in list(self.leases.holdings.items()):
-            unneeded = daemon_id not in self.interest.needed
-            if unneeded or (self._is_dead(daemon_id) and not holding.published):
-                self.leases.drop(daemon_id)
-                self.pulls.forget(daemon_id)
+    def _discard_unneeded(self) -> None:
+        for daemon_id, held in list(self.leases.held_targets.items()):
+            unneeded = daemon_id not in self.interest.needed_by_member
+            if unneeded or (self._is_dead(daemon_id) and not held.published):
+                self.leases.discard(daemon_id)
+                self.pulls.discard(daemon_id)
 
     def _is_dead(self, daemon_id: str) -> bool:
         member = self.blackboard.members.get(daemon_id)
         return member is None or member.state is MemberState.DEAD
 
     def _send_digests(self, now: timedelta) -> list[Any]:
-        if now < self.round_at:
+        if now < self.next_digest_at:
             return []
-        interval = self.settings.renew_ms / ROUNDS_PER_RENEWAL
-        self.round_at = now + timedelta(milliseconds=interval)
+        interval = self.settings.renew_ms / DIGEST_ROUNDS_PER_RENEWAL
+        self.next_digest_at = now + timedelta(milliseconds=interval)
         effects = []
-        for peer_id, names in self.digests.take().items():
-            rows = self._make_rows(names)
+        for peer_id, names in self.digests.pop_round().items():
+            rows = self._build_rows(names)
             if self.blackboard.this_member.daemon_id in names:
-                rows += self._own_row()
+                rows += self._build_local_row()
             peer = self.blackboard.members.get(peer_id)
             if rows and peer is not None:
-                digest = Digest(self.beat, tuple(rows))
+                digest = Digest(self.heartbeat, tuple(rows))
                 effects.append(SendToPeer(peer.peer_address, digest))
         return effects
 
-    def _own_row(self) -> list[int]:
-        age = self.clock.monotonic() - self.beat_at
-        return [self.reference, 0, _age_units(age), self.version]
+    def _build_local_row(self) -> list[int]:
+        age = self.clock.monotonic() - self.heartbeat_at
+        return [self.local_reference, 0, _age_units(age), self.version]
 
-    def _make_rows(self, names: list[str]) -> list[int]:
+    def _build_rows(self, names: list[str]) -> list[int]:
         now = self.clock.monotonic()
         rows: list[int] = []
         for name in names:
-            holding = self.leases.holdings.get(name)
-            if holding is None or now - holding.renewed_at >= self.lease:
+            held = self.leases.held_targets.get(name)
+            if held is None or now - held.renewed_at >= self.lease:
                 continue
-            age = _age_units(now - holding.renewed_at)
-            beat = holding.beat - self.beat
-            rows += (member_reference(name), beat, age, holding.version)
+            age = _age_units(now - held.renewed_at)
+            beat = held.heartbeat - self.heartbeat
+            rows += (member_reference(name), beat, age, held.newest_version)
         return rows
 
     def _pull(self, now: timedelta) -> list[Any]:
-        oldest = now - self.lease * REFRESH_SHARE_OF_LEASE
+        oldest = now - self.lease * REFRESH_LEASE_FRACTION
         effects: list[Any] = []
         stale: list[str] = []
-        for daemon_id, needed in self.interest.needed.items():
-            holding = self.leases.holdings.get(daemon_id)
-            if not is_lacking(holding, needed, oldest):
+        for daemon_id, needed in self.interest.needed_by_member.items():
+            held = self.leases.held_targets.get(daemon_id)
+            if not needs_pull(held, needed, oldest):
                 continue
             if len(effects) >= PULLS_PER_TICK:
                 break
-            if not self.pulls.start(daemon_id, now):
+            if not self.pulls.try_start(daemon_id, now):
                 continue
-            if holding is not None and holding.is_complete(needed):
+            if held is not None and held.is_complete(needed):
                 stale.append(daemon_id)
             else:
                 effects += self._request_targets(daemon_id, needed)
@@ -348,31 +348,33 @@
     def _request_targets(self, daemon_id: str, needed: frozenset[str]) -> list[Any]:
         this = self.blackboard.this_member
         request = TargetsRequest(this.peer_address, daemon_id, tuple(sorted(needed)))
-        peer = self._choose_other(daemon_id)
-        is_unknown = daemon_id not in self.leases.holdings
+        peer = self._choose_peer(daemon_id)
+        is_unknown = daemon_id not in self.leases.held_targets
         if peer is None or self.pulls.asks_owner(daemon_id, owner_first=is_unknown):
             peer = self.blackboard.members.get(daemon_id)
         return [] if peer is None else [SendToPeer(peer.peer_address, request)]
 
-    def _choose_other(self, daemon_id: str) -> Member | None:
-        needed = self.interest.needed[daemon_id]
+    def _choose_peer(self, daemon_id: str) -> Member | None:
+        needed = self.interest.needed_by_member[daemon_id]
         others = self.interest.choose_interested(needed, 1, self.rng)
         return others[0] if others else None
 
     def _request_digests(self, stale: list[str]) -> list[Any]:
         effects: list[Any] = []
-        shared = [name for name in stale if not self.pulls.asks_owner(name)]
+        via_peers = [name for name in stale if not self.pulls.asks_owner(name)]
         for daemon_id in stale:
-            if daemon_id not in shared:
+            if daemon_id not in via_peers:
                 owner = self.blackboard.members.get(daemon_id)
                 effects += self._request_digest(owner, [daemon_id])
-        while shared:
-            peer = self._choose_other(shared[0])
+        while via_peers:
+            peer = self._choose_peer(via_peers[0])
             services = frozenset(peer.services if peer else ())
-            asked = [n for n in shared if services & self.interest.needed[n]]
-            asked = asked or shared[:1]
-            effects += self._request_digest(peer, asked)
-            shared = [name for name in shared if name not in asked]
+            batch = [
+                n for n in via_peers if services & self.interest.needed_by_member[n]
+            ]
+            batch = batch or via_peers[:1]
+            effects += self._request_digest(peer, batch)
+            via_peers = [name for name in via_peers if name not in batch]
         return effects
 
     def _request_digest(self, peer: Member | None, names: list[str]) -> list[Any]:
@@ -383,7 +385,7 @@
         return [SendToPeer(peer.peer_address, DigestRequest(reply_to, references))]
 
 
-def _make_entries(
+def _build_entries(
     targets: tuple[Target, ...], services: frozenset[str]
 ) -> tuple[TargetEntry, ...]:
     return tuple(
--- a/src/wagtailstep/controllers/interest.py
+++ b/src/wagtailstep/controllers/interest.py
@@ -9,8 +9,8 @@
 
 # A small fleet learns of a member's services at the next tick. A rebuild takes about
 # 1 us for each member, so a two-thousandth of a core up to 500 members.
-LEAST_REBUILD_MS = 100
-MOST_REBUILD_MS = 1_000
+MIN_REBUILD_MS = 100
+MAX_REBUILD_MS = 1_000
 REBUILD_MS_PER_MEMBER = 2.0
 
 
@@ -20,16 +20,16 @@
     :param blackboard: where members and wanted services are read.
 
     Attributes: ``services`` of interest; ``needed`` services by the ``daemon_id``
-    that serves them; ``peers`` that serve or want a service, by service;
-    ``references`` of members that stand for them in digests.
+    that serves them; ``peers_by_service`` that serve or want a service, by service;
+    ``daemon_ids`` of members that stand for them in digests.
     """
 
     def __init__(self, blackboard: Blackboard) -> None:
         self.blackboard = blackboard
         self.services: frozenset[str] = frozenset()
-        self.needed: dict[str, frozenset[str]] = {}
-        self.peers: dict[str, list[str]] = {}
-        self.references: dict[int, str] = {}
+        self.needed_by_member: dict[str, frozenset[str]] = {}
+        self.peers_by_service: dict[str, list[str]] = {}
+        self.daemon_ids: dict[int, str] = {}
         self.rebuild_at = timedelta()
 
     def refresh(self, now: timedelta) -> bool:
@@ -44,26 +44,26 @@
             return False
         self.services = services
         rebuild_ms = len(board.members) * REBUILD_MS_PER_MEMBER
-        rebuild_ms = min(MOST_REBUILD_MS, max(LEAST_REBUILD_MS, rebuild_ms))
+        rebuild_ms = min(MAX_REBUILD_MS, max(MIN_REBUILD_MS, rebuild_ms))
         self.rebuild_at = now + timedelta(milliseconds=rebuild_ms)
         self._rebuild()
         return True
 
     def _rebuild(self) -> None:
-        self.needed = {}
-        self.references = {}
-        self.peers = {service: [] for service in sorted(self.services)}
+        self.needed_by_member = {}
+        self.daemon_ids = {}
+        self.peers_by_service = {service: [] for service in sorted(self.services)}
         this_id = self.blackboard.this_member.daemon_id
         for daemon_id, member in self.blackboard.members.items():
             if daemon_id == this_id:
                 continue
             needed = self.services.intersection(member.serves)
             if needed:
-                self.needed[daemon_id] = needed
-                self.references[member_reference(daemon_id)] = daemon_id
+                self.needed_by_member[daemon_id] = needed
+                self.daemon_ids[member_reference(daemon_id)] = daemon_id
             if member.state is not MemberState.DEAD:
                 for service in self.services.intersection(member.services):
-                    self.peers[service].append(daemon_id)
+                    self.peers_by_service[service].append(daemon_id)
 
     def choose_peers(
         self, service: str, count: int, chosen: set[str], rng: random.Random
@@ -72,11 +72,11 @@
 
         :param chosen: peers that a message goes to anyway.
         """
-        names = self.peers.get(service, [])
+        names = self.peers_by_service.get(service, [])
         if len(names) <= count:
             return names
-        known = [name for name in names if name in chosen]
-        picked = rng.sample(known, min(count, len(known)))
+        reused = [name for name in names if name in chosen]
+        picked = rng.sample(reused, min(count, len(reused)))
         while len(picked) < count:
             name = rng.choice(names)
             if name not in picked:
@@ -87,7 +87,11 @@
         self, services: frozenset[str], count: int, rng: random.Random
     ) -> list[Member]:
         """Choose peers that serve or want one of some services."""
-        names = {name for service in services for name in self.peers.get(service, ())}
+        names = {
+            name
+            for service in services
+            for name in self.peers_by_service.get(service, ())
+        }
         picked = rng.sample(sorted(names), min(count, len(names)))
         members = self.blackboard.members
         return [members[name] for name in picked if name in members]
--- a/src/wagtailstep/controllers/member_contacts.py
+++ b/src/wagtailstep/controllers/member_contacts.py
@@ -28,21 +28,21 @@
 from wagtailstep.utils.codec import decode_message
 from wagtailstep.utils.ids import make_id
 
-MAX_LOG_CONTACTS = 32
+MAX_CONTACTS = 32
 PAGE_INTERVAL_MS = 600
 PAGE_TIMEOUT_MS = 2_000
-FIRST_SYNC_MS = 3_000
-SYNC_INTERVAL_MS = 60_000
+INITIAL_SYNC_INTERVAL_MS = 3_000
+MAX_SYNC_INTERVAL_MS = 60_000
 BEFORE_ALL_NAMES = " "
-TOLERATED_SHARE = 0.01
-CATCH_UP_MS = 100
+TOLERATED_MISSING_RATIO = 0.01
+CATCH_UP_MS_PER_MEMBER = 100
 FIRST_APPEND_MS = 1_000
-APPEND_SPREAD_MS = 4_000
+APPEND_JITTER_MS = 4_000
 APPEND_RETRY_MS = 15_000
 # A list that names no daemon that answers is out of date; each list is a call.
-REGISTER_AGAIN_MS = 2_000
-LIST_AGAIN_MS = 2_000
-LONGEST_LIST_AGAIN_MS = 30_000
+REGISTER_RETRY_MS = 2_000
+LIST_RETRY_MS = 2_000
+MAX_LIST_RETRY_MS = 30_000
 
 
 @attrs.define
@@ -59,47 +59,47 @@
     settings: MembershipSettings
     this: Member
     rng: random.Random
-    from_log: dict[str, str] = attrs.field(factory=dict)
+    recorded_contacts: dict[str, str] = attrs.field(factory=dict)
     rejoin_at: timedelta = timedelta()
     sync_at: timedelta = timedelta()
-    sync_ms: float = FIRST_SYNC_MS
+    sync_interval_ms: float = INITIAL_SYNC_INTERVAL_MS
     catch_up_at: timedelta = timedelta()
     append_at: timedelta | None = None
     append_id: str = ""
     appended: bool = False
-    reading: bool = False
+    reading_pages: bool = False
     page_source: str = ""
     page_after: str = ""
-    page_at: timedelta = timedelta()
+    next_page_at: timedelta = timedelta()
     register_at: timedelta | None = timedelta()
     list_at: timedelta | None = None
-    list_again_ms: float = LIST_AGAIN_MS
+    list_retry_ms: float = LIST_RETRY_MS
 
     @property
     def uses_registry(self) -> bool:
         """Tell whether contacts come from a registry."""
         return self.settings.member_source == "registry"
 
-    def take_list(self, addresses: dict[str, str], this: Member) -> list[Any]:
+    def handle_member_list(self, addresses: dict[str, str], this: Member) -> list[Any]:
         """Introduce this daemon to daemons that the registry names.
 
         Each daemon writes its record before it lists the others, so of any two one
         finds the other.
         """
         others = [name for name in sorted(addresses) if name != this.daemon_id]
-        chosen = self.rng.sample(others, min(len(others), MAX_LOG_CONTACTS))
-        self.from_log.update((name, addresses[name]) for name in chosen)
-        self._forget_oldest()
+        chosen = self.rng.sample(others, min(len(others), MAX_CONTACTS))
+        self.recorded_contacts.update((name, addresses[name]) for name in chosen)
+        self._discard_oldest()
         return self._request(this, [addresses[name] for name in chosen], "")
 
-    def settle_registration(self, succeeded: bool, now: timedelta) -> None:
+    def complete_registration(self, succeeded: bool, now: timedelta) -> None:
         """Take the end of writing this daemon's record; the list is read next."""
         self.list_at = now
         if not succeeded:
-            delay = REGISTER_AGAIN_MS * (0.5 + self.rng.random())
+            delay = REGISTER_RETRY_MS * (0.5 + self.rng.random())
             self.register_at = now + timedelta(milliseconds=delay)
 
-    def _use_registry(
+    def _poll_registry(
         self, now: timedelta, table: MemberTable, this: Member
     ) -> list[Any]:
         effects: list[Any] = []
@@ -109,9 +109,9 @@
         if self.list_at is not None and now >= self.list_at:
             self.list_at = None
             effects.append(ListMembers())
-        elif self.list_at is None and table.count_living() <= 1:
-            self.list_again_ms = min(LONGEST_LIST_AGAIN_MS, 1.5 * self.list_again_ms)
-            delay = self.list_again_ms * (0.5 + self.rng.random())
+        elif self.list_at is None and table.count_live() <= 1:
+            self.list_retry_ms = min(MAX_LIST_RETRY_MS, 1.5 * self.list_retry_ms)
+            delay = self.list_retry_ms * (0.5 + self.rng.random())
             self.list_at = now + timedelta(milliseconds=delay)
         return effects
 
@@ -128,33 +128,33 @@
     def _add_contact(self, record: MemberRecord) -> None:
         if record.daemon_id == self.this.daemon_id:
             return
-        self.from_log.pop(record.daemon_id, None)
-        self.from_log[record.daemon_id] = record.peer_address
-        self._forget_oldest()
+        self.recorded_contacts.pop(record.daemon_id, None)
+        self.recorded_contacts[record.daemon_id] = record.peer_address
+        self._discard_oldest()
 
-    def _forget_oldest(self) -> None:
-        while len(self.from_log) > MAX_LOG_CONTACTS:
-            del self.from_log[next(iter(self.from_log))]
+    def _discard_oldest(self) -> None:
+        while len(self.recorded_contacts) > MAX_CONTACTS:
+            del self.recorded_contacts[next(iter(self.recorded_contacts))]
 
     def rejoin_now(self) -> None:
         """Ask for the member table at the next tick."""
         self.rejoin_at = timedelta()
         self.sync_at = timedelta()
-        self.sync_ms = FIRST_SYNC_MS
+        self.sync_interval_ms = INITIAL_SYNC_INTERVAL_MS
 
-    def receive_page(
+    def handle_page(
         self, address: str, page: MembersPage, now: timedelta, table: MemberTable
     ) -> None:
         """Note where the next page of the member table starts, and who has it.
 
         :param address: ``host:port`` that sent the page.
         """
-        expected = self.page_after if self.reading else ""
+        expected = self.page_after if self.reading_pages else ""
         if page.start == expected:
-            self._read_on(address, page.after, now)
-        self.catch_up(address, page.known, now, table)
+            self._schedule_page(address, page.after, now)
+        self.start_catch_up(address, page.known, now, table)
 
-    def catch_up(
+    def start_catch_up(
         self, address: str, known: int, now: timedelta, table: MemberTable
     ) -> None:
         """Read the member table of a daemon that knows more than this one.
@@ -164,22 +164,22 @@
 
         :param known: number of living daemons that it knows.
         """
-        living = table.count_living()
-        many = known - living > living * TOLERATED_SHARE
-        few = known > living and now >= self.catch_up_at
-        if self.reading or not (many or few):
+        live = table.count_live()
+        many = known - live > live * TOLERATED_MISSING_RATIO
+        few = known > live and now >= self.catch_up_at
+        if self.reading_pages or not (many or few):
             return
-        self._read_on(address, "", now)
-        self.reading = True
-        self.catch_up_at = now + timedelta(milliseconds=living * CATCH_UP_MS)
+        self._schedule_page(address, "", now)
+        self.reading_pages = True
+        self.catch_up_at = now + timedelta(milliseconds=live * CATCH_UP_MS_PER_MEMBER)
 
-    def _read_on(self, address: str, after: str, now: timedelta) -> None:
-        self.reading = bool(after)
+    def _schedule_page(self, address: str, after: str, now: timedelta) -> None:
+        self.reading_pages = bool(after)
         self.page_after = after
         self.page_source = address
-        self.page_at = now + timedelta(milliseconds=PAGE_INTERVAL_MS)
+        self.next_page_at = now + timedelta(milliseconds=PAGE_INTERVAL_MS)
 
-    def settle_append(self, event: LogAppendSettled, now: timedelta) -> None:
+    def complete_append(self, event: LogAppendSettled, now: timedelta) -> None:
         """Take the end of an append to the stream of members."""
         if event.append_id != self.append_id:
             return
@@ -191,69 +191,71 @@
 
     def tick(self, now: timedelta, table: MemberTable, this: Member) -> list[Any]:
         """Return requests for the member table and appends that are due."""
-        source = self._use_registry if self.uses_registry else self._append
+        source = self._poll_registry if self.uses_registry else self._append
         return [
-            *self._ask_contacts(now, table, this),
-            *self._ask_next_page(now, table, this),
+            *self._request_from_contacts(now, table, this),
+            *self._request_next_page(now, table, this),
             *source(now, table, this),
         ]
 
-    def _ask_contacts(
+    def _request_from_contacts(
         self, now: timedelta, table: MemberTable, this: Member
     ) -> list[Any]:
         if now < self.rejoin_at:
             return []
         jitter = 0.5 + self.rng.random()
         self.rejoin_at = now + timedelta(milliseconds=self.settings.rejoin_ms * jitter)
-        alone = not any(
+        is_alone = not any(
             member.state is MemberState.ALIVE and name != this.daemon_id
             for name, member in table.members.items()
         )
         # While no other daemon is known any one of several contacts may be gone.
-        addresses = self._pick(self._lost_addresses(table, this), 4 if alone else 1)
+        addresses = self._sample(
+            self._contacts_not_alive(table, this), 4 if is_alone else 1
+        )
         effects = self._request(this, addresses, "")
-        if not alone and now >= self.sync_at:
-            self.sync_at = now + timedelta(milliseconds=self.sync_ms * jitter)
-            self.sync_ms = min(self.sync_ms * 2, SYNC_INTERVAL_MS)
-            effects += self._compare_page(table, this)
+        if not is_alone and now >= self.sync_at:
+            self.sync_at = now + timedelta(milliseconds=self.sync_interval_ms * jitter)
+            self.sync_interval_ms = min(self.sync_interval_ms * 2, MAX_SYNC_INTERVAL_MS)
+            effects += self._request_random_page(table, this)
         return effects
 
-    def _compare_page(self, table: MemberTable, this: Member) -> list[Any]:
+    def _request_random_page(self, table: MemberTable, this: Member) -> list[Any]:
         # One page from a random place finds news that was lost on its way. It is
         # not followed by the next one, so it must not start as a first page does.
         after = self.rng.choice([BEFORE_ALL_NAMES, *sorted(table.members)[:-1]])
-        addresses = self._pick(self._live_addresses(table, this), 1)
+        addresses = self._sample(self._alive_addresses(table, this), 1)
         return self._request(this, addresses, after)
 
-    def _pick(self, addresses: list[str], count: int) -> list[str]:
+    def _sample(self, addresses: list[str], count: int) -> list[str]:
         return self.rng.sample(addresses, min(count, len(addresses)))
 
-    def _lost_addresses(self, table: MemberTable, this: Member) -> list[str]:
+    def _contacts_not_alive(self, table: MemberTable, this: Member) -> list[str]:
         known = {
             member.peer_address
             for member in table.members.values()
             if member.state is not MemberState.DEAD
         }
-        contacts = {*self.settings.seeds, *self.from_log.values()}
-        contacts.update(member.peer_address for member in table.dead())
+        contacts = {*self.settings.seeds, *self.recorded_contacts.values()}
+        contacts.update(member.peer_address for member in table.dead_members())
         return sorted(contacts - known - {this.peer_address})
 
-    def _live_addresses(self, table: MemberTable, this: Member) -> list[str]:
+    def _alive_addresses(self, table: MemberTable, this: Member) -> list[str]:
         return sorted(
             member.peer_address
             for name, member in table.members.items()
             if member.state is MemberState.ALIVE and name != this.daemon_id
         )
 
-    def _ask_next_page(
+    def _request_next_page(
         self, now: timedelta, table: MemberTable, this: Member
     ) -> list[Any]:
-        if not self.reading or now < self.page_at:
+        if not self.reading_pages or now < self.next_page_at:
             return []
-        self.page_at = now + timedelta(milliseconds=PAGE_TIMEOUT_MS)
+        self.next_page_at = now + timedelta(milliseconds=PAGE_TIMEOUT_MS)
         address = self.page_source
         # If no answer comes in time another daemon is asked next.
-        self.page_source = "".join(self._pick(self._live_addresses(table, this), 1))
+        self.page_source = "".join(self._sample(self._alive_addresses(table, this), 1))
         return self._request(this, [address], self.page_after)
 
     def _request(self, this: Member, addresses: list[str], after: str) -> list[Any]:
@@ -262,12 +264,12 @@
 
     def _append(self, now: timedelta, table: MemberTable, this: Member) -> list[Any]:
         if self.append_at is None:
-            delay = FIRST_APPEND_MS + self.rng.random() * APPEND_SPREAD_MS
+            delay = FIRST_APPEND_MS + self.rng.random() * APPEND_JITTER_MS
             self.append_at = now + timedelta(milliseconds=delay)
         if now < self.append_at or self.append_id:
             return []
         self.append_at = now + self._append_interval(table)
-        if not self.appended and len(self.from_log) >= MAX_LOG_CONTACTS:
+        if not self.appended and len(self.recorded_contacts) >= MAX_CONTACTS:
             self.appended = True
             return []
         self.append_id = make_id(self.rng)
@@ -275,5 +277,5 @@
         return [AppendToLog(MEMBERS_STREAM, record, self.append_id)]
 
     def _append_interval(self, table: MemberTable) -> timedelta:
-        mean = self.settings.member_append_s * max(len(table.members), MAX_LOG_CONTACTS)
+        mean = self.settings.member_append_s * max(len(table.members), MAX_CONTACTS)
         return timedelta(seconds=mean * (0.5 + self.rng.random()))
--- a/src/wagtailstep/controllers/member_table.py
+++ b/src/wagtailstep/controllers/member_table.py
@@ -7,9 +7,9 @@
 from wagtailstep.models.fleet import Member, MemberState
 from wagtailstep.models.membership import MemberChange
 
-MAX_BURIED = 8_192
+MAX_TOMBSTONES = 8_192
 
-_RANK = {
+_STATE_RANK = {
     MemberState.ALIVE: 0,
     MemberState.SUSPECT: 1,
     MemberState.LEAVING: 2,
@@ -25,8 +25,8 @@
     A higher incarnation always does; within one incarnation the worse state does,
     so that all daemons come to the same result in whatever order news arrives.
     """
-    news = (incarnation, _RANK[state])
-    return news > (known_incarnation, _RANK[known])
+    news = (incarnation, _STATE_RANK[state])
+    return news > (known_incarnation, _STATE_RANK[known])
 
 
 @attrs.define
@@ -35,14 +35,14 @@
 
     :param members: members by ``daemon_id``, dead ones too; shared with the
         blackboard.
-    :param buried: last incarnation of forgotten members, oldest first, so that
+    :param tombstones: last incarnation of forgotten members, oldest first, so that
         stale news doesn't bring them back.
     :param died_at: monotonic time at which each dead member was found dead.
     :param suspected_at: monotonic time at which each suspicion began.
     """
 
     members: dict[str, Member]
-    buried: dict[str, int] = attrs.field(factory=dict)
+    tombstones: dict[str, int] = attrs.field(factory=dict)
     died_at: dict[str, timedelta] = attrs.field(factory=dict)
     suspected_at: dict[str, timedelta] = attrs.field(factory=dict)
 
@@ -51,13 +51,13 @@
         known = self.members.get(daemon_id)
         if known is not None:
             return is_newer(incarnation, state, known.incarnation, known.state)
-        return incarnation > self.buried.get(daemon_id, -1)
+        return incarnation > self.tombstones.get(daemon_id, -1)
 
     def put(self, member: Member, now: timedelta) -> None:
         """Store a member and when its state began."""
         daemon_id = member.daemon_id
         self.members[daemon_id] = member
-        self.buried.pop(daemon_id, None)
+        self.tombstones.pop(daemon_id, None)
         self.suspected_at.pop(daemon_id, None)
         self.died_at.pop(daemon_id, None)
         if member.state is MemberState.SUSPECT:
@@ -65,31 +65,31 @@
         elif member.state is MemberState.DEAD:
             self.died_at[daemon_id] = now
 
-    def find_doubt(self, daemon_id: str) -> MemberChange | None:
+    def get_suspicion(self, daemon_id: str) -> MemberChange | None:
         """Return what a daemon must hear to refute that it is suspect or dead."""
         member = self.members.get(daemon_id)
         if member is not None:
             doubted = member.state in (MemberState.SUSPECT, MemberState.DEAD)
             return MemberChange.from_member(member) if doubted else None
-        incarnation = self.buried.get(daemon_id)
+        incarnation = self.tombstones.get(daemon_id)
         if incarnation is None:
             return None
         return MemberChange.from_state(daemon_id, incarnation, MemberState.DEAD)
 
-    def bury(self, daemon_id: str, incarnation: int) -> None:
+    def add_tombstone(self, daemon_id: str, incarnation: int) -> None:
         """Remember that an unknown member is dead, and nothing else of it."""
-        last = max(incarnation, self.buried.pop(daemon_id, -1))
-        self.buried[daemon_id] = last
-        while len(self.buried) > MAX_BURIED:
-            del self.buried[next(iter(self.buried))]
+        last = max(incarnation, self.tombstones.pop(daemon_id, -1))
+        self.tombstones[daemon_id] = last
+        while len(self.tombstones) > MAX_TOMBSTONES:
+            del self.tombstones[next(iter(self.tombstones))]
 
-    def forget_dead(self, now: timedelta, retention: timedelta) -> None:
+    def expire_dead(self, now: timedelta, retention: timedelta) -> None:
         """Forget members that have been dead for longer than the retention."""
         expired = [name for name, at in self.died_at.items() if now - at >= retention]
         for daemon_id in expired:
             del self.died_at[daemon_id]
             member = self.members.pop(daemon_id)
-            self.bury(daemon_id, member.incarnation)
+            self.add_tombstone(daemon_id, member.incarnation)
 
     def expired_suspects(self, now: timedelta, timeout: timedelta) -> list[str]:
         """Return the members whose time to refute a suspicion is over."""
@@ -100,10 +100,10 @@
         """Give all suspects their whole time again, after this daemon had paused."""
         self.suspected_at.update(dict.fromkeys(self.suspected_at, now))
 
-    def count_living(self) -> int:
+    def count_live(self) -> int:
         """Return the number of members that are not known to be dead."""
         return len(self.members) - len(self.died_at)
 
-    def dead(self) -> list[Member]:
+    def dead_members(self) -> list[Member]:
         """Return the members that are known to be dead."""
         return [self.members[name] for name in self.died_at]
--- a/src/wagtailstep/controllers/member_updates.py
+++ b/src/wagtailstep/controllers/member_updates.py
@@ -7,7 +7,7 @@
 from wagtailstep.models.fleet import Member, MemberState
 from wagtailstep.models.membership import MemberChange, MemberEntry, Updates
 
-UPDATES_BYTES_PER_MESSAGE = 1_000
+MAX_UPDATE_BYTES_PER_MESSAGE = 1_000
 CHANGE_OVERHEAD_BYTES = 13
 RETRANSMIT_FACTOR = 4
 
@@ -18,12 +18,12 @@
 
     :param sends_left: messages that it still goes onto.
     :param urgent: whether it goes before routine news.
-    :param whole: whether the receiver needs the whole entry.
+    :param full_entry: whether the receiver needs the whole entry.
     """
 
     sends_left: int
     urgent: bool
-    whole: bool
+    full_entry: bool
 
 
 @attrs.define
@@ -36,19 +36,21 @@
     members: dict[str, Member]
     pending: dict[str, PendingUpdate] = attrs.field(factory=dict)
 
-    def add(self, member: Member, whole: bool) -> None:
+    def add(self, member: Member, full_entry: bool) -> None:
         """Queue the newest news of a member; it replaces what was queued of it."""
         sends = RETRANSMIT_FACTOR * math.ceil(math.log10(len(self.members) + 1))
         urgent = member.state is not MemberState.ALIVE
         queued = self.pending.pop(member.daemon_id, None)
-        whole = whole or (queued is not None and queued.whole)
-        self.pending[member.daemon_id] = PendingUpdate(max(sends, 2), urgent, whole)
+        full_entry = full_entry or (queued is not None and queued.full_entry)
+        self.pending[member.daemon_id] = PendingUpdate(
+            max(sends, 2), urgent, full_entry
+        )
 
     def clear(self) -> None:
         """Forget all news that is waiting."""
         self.pending.clear()
 
-    def take(self, exclude: str = "") -> Updates:
+    def pop_updates(self, exclude: str = "") -> Updates:
         """Return the news for one message: urgent first, then the least sent.
 
         :param exclude: member that the message goes to; it knows its own news.
@@ -58,7 +60,7 @@
         entries: list[MemberEntry] = []
         changes: list[MemberChange] = []
         size = 0
-        for daemon_id in self._order():
+        for daemon_id in self._sort_by_priority():
             member = self.members.get(daemon_id)
             if member is None:
                 del self.pending[daemon_id]
@@ -66,17 +68,17 @@
             if daemon_id == exclude:
                 continue
             update = self.pending[daemon_id]
-            size += estimate_bytes(member, update.whole)
-            if size > UPDATES_BYTES_PER_MESSAGE and (entries or changes):
+            size += estimate_bytes(member, update.full_entry)
+            if size > MAX_UPDATE_BYTES_PER_MESSAGE and (entries or changes):
                 break
-            if update.whole:
+            if update.full_entry:
                 entries.append(MemberEntry.from_member(member))
             else:
                 changes.append(MemberChange.from_member(member))
-            self._count(daemon_id, update)
+            self._count_send(daemon_id, update)
         return Updates(tuple(entries), tuple(changes))
 
-    def _order(self) -> list[str]:
+    def _sort_by_priority(self) -> list[str]:
         return sorted(
             self.pending,
             key=lambda name: (
@@ -85,16 +87,16 @@
             ),
         )
 
-    def _count(self, daemon_id: str, update: PendingUpdate) -> None:
+    def _count_send(self, daemon_id: str, update: PendingUpdate) -> None:
         update.sends_left -= 1
         if update.sends_left <= 0:
             del self.pending[daemon_id]
 
 
-def estimate_bytes(member: Member, whole: bool) -> int:
+def estimate_bytes(member: Member, full_entry: bool) -> int:
     """Return about how many bytes the news of a member takes in a message."""
     size = len(member.daemon_id) + CHANGE_OVERHEAD_BYTES
-    if not whole:
+    if not full_entry:
         return size
     size += len(member.peer_address) + len(member.gate_address)
     size += len(member.availability_zone) + 5
--- a/src/wagtailstep/controllers/membership.py
+++ b/src/wagtailstep/controllers/membership.py
@@ -38,11 +38,11 @@
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.utils.clock import Clock
 
-PAGE_ENTRIES = 40
+MAX_PAGE_ENTRIES = 40
 MEMBERS_POLL_MS = 10_000
-PAUSE_LIMIT_MS = 10_000
+MAX_TICK_GAP_MS = 10_000
 PRUNE_INTERVAL_MS = 5_000
-SERVICES_UPDATE_MS = 1_000
+SERVICES_UPDATE_INTERVAL_MS = 1_000
 URGENT_FANOUT = 4
 
 
@@ -78,10 +78,10 @@
             self.settings, blackboard.members, self.self_id, this.peer_address, rng
         )
         self.last_tick: timedelta | None = None
-        self.heard_at: dict[str, timedelta] = {}
-        self.last_heard = timedelta()
+        self.last_received_at: dict[str, timedelta] = {}
+        self.last_message_at = timedelta()
         self.prune_at = timedelta()
-        self.services_at = timedelta()
+        self.next_services_update_at = timedelta()
         # Looking up a single-dispatch method costs more than calling it.
         self.receive = self._receive
 
@@ -93,16 +93,16 @@
     @handle.register
     def _(self, event: Tick) -> list[Any]:
         now = self.clock.monotonic()
-        effects = self._note_time(now)
+        effects = self._check_tick_gap(now)
         effects += self._update_this_member(now)
-        effects += self._finish_probe(now)
-        effects += self._bury(now)
+        effects += self._handle_failed_probe(now)
+        effects += self._mark_expired_suspects_dead(now)
         effects += self.contacts.tick(now, self.table, self.blackboard.this_member)
-        effects += self.prober.ask_others(now)
-        member = self.prober.start(now)
+        effects += self.prober.request_indirect_probes(now)
+        member = self.prober.start_probe(now)
         if member is not None:
-            updates = self._updates_for(member.daemon_id)
-            effects.append(self.prober.make_ping(member, updates))
+            updates = self._pop_updates_for(member.daemon_id)
+            effects.append(self.prober.build_ping(member, updates))
         return effects
 
     @handle.register
@@ -113,24 +113,26 @@
 
     @handle.register
     def _(self, event: MembersListed) -> list[Any]:
-        return self.contacts.take_list(event.addresses, self.blackboard.this_member)
+        return self.contacts.handle_member_list(
+            event.addresses, self.blackboard.this_member
+        )
 
     @handle.register
     def _(self, event: MemberRegistered) -> list[Any]:
-        self.contacts.settle_registration(event.succeeded, self.clock.monotonic())
+        self.contacts.complete_registration(event.succeeded, self.clock.monotonic())
         return []
 
     @handle.register
     def _(self, event: LogAppendSettled) -> list[Any]:
-        self.contacts.settle_append(event, self.clock.monotonic())
+        self.contacts.complete_append(event, self.clock.monotonic())
         return []
 
     @handle.register
     def _(self, event: PeerMessageReceived) -> list[Any]:
         if event.sender == self.self_id:
             return []
-        self.last_heard = self.clock.monotonic()
-        self.heard_at[event.sender] = self.last_heard
+        self.last_message_at = self.clock.monotonic()
+        self.last_received_at[event.sender] = self.last_message_at
         return self.receive(event.message, event.sender)
 
     @singledispatchmethod
@@ -140,84 +142,87 @@
     @_receive.register
     def _(self, message: Ping, sender: str) -> list[Any]:
         effects = self._merge(message.updates)
-        known = self.table.count_living()
-        ack = Ack(message.sequence, known, self._updates_for(sender))
+        known = self.table.count_live()
+        ack = Ack(message.sequence, known, self._pop_updates_for(sender))
         return [SendToPeer(message.reply_to, ack), *effects]
 
     @_receive.register
     def _(self, message: Ack, sender: str) -> list[Any]:
         effects = self._merge(message.updates)
         now = self.clock.monotonic()
-        reached = self.prober.take_answered(message.sequence)
+        reached = self.prober.complete_probe(message.sequence)
         if reached is not None:
-            self.heard_at[reached] = now
+            self.last_received_at[reached] = now
         source = self.blackboard.members.get(sender)
         if source is not None:
             address = source.peer_address
-            self.contacts.catch_up(address, message.known, now, self.table)
+            self.contacts.start_catch_up(address, message.known, now, self.table)
         if message.sequence in self.prober.relays:
-            updates = self._updates_for("")
-            effects.append(self.prober.pass_on(message.sequence, updates))
+            updates = self._pop_updates_for("")
+            effects.append(self.prober.forward_ack(message.sequence, updates))
         return effects
 
     @_receive.register
     def _(self, message: PingRequest, sender: str) -> list[Any]:
         effects = self._merge(message.updates)
         now = self.clock.monotonic()
-        return [self.prober.relay(message, self._updates_for(""), now), *effects]
+        return [
+            self.prober.relay_ping(message, self._pop_updates_for(""), now),
+            *effects,
+        ]
 
     @_receive.register
     def _(self, message: MembersRequest, sender: str) -> list[Any]:
         effects = self._merge(Updates(entries=(message.requester,)))
-        page = self._make_page(message.after, sender)
+        page = self._build_page(message.after, sender)
         address = message.requester.peer_address
-        if sender in self.table.buried:
-            effects.append(SendToPeer(address, self._make_ping(sender)))
+        if sender in self.table.tombstones:
+            effects.append(SendToPeer(address, self._build_ping(sender)))
         return [SendToPeer(address, page), *effects]
 
     @_receive.register
     def _(self, message: MembersPage, sender: str) -> list[Any]:
         # Each daemon reads the pages for itself, so they are not passed on.
-        effects = self._merge(Updates(entries=message.entries), spread=False)
+        effects = self._merge(Updates(entries=message.entries), propagate=False)
         source = self.blackboard.members.get(sender)
         if source is not None:
             now = self.clock.monotonic()
             address = source.peer_address
-            self.contacts.receive_page(address, message, now, self.table)
+            self.contacts.handle_page(address, message, now, self.table)
         return effects
 
-    def _make_page(self, after: str, requester: str) -> MembersPage:
+    def _build_page(self, after: str, requester: str) -> MembersPage:
         members = self.blackboard.members
         names = sorted(name for name in members if name > after)
-        page = names[:PAGE_ENTRIES]
+        page = names[:MAX_PAGE_ENTRIES]
         entries = [MemberEntry.from_member(members[name]) for name in page]
         if after == "" and requester not in page and requester in members:
             # The requester learns a higher incarnation of itself, if there is one.
             entries.append(MemberEntry.from_member(members[requester]))
-        last = page[-1] if len(names) > PAGE_ENTRIES else ""
-        return MembersPage(after, tuple(entries), last, self.table.count_living())
+        last = page[-1] if len(names) > MAX_PAGE_ENTRIES else ""
+        return MembersPage(after, tuple(entries), last, self.table.count_live())
 
-    def _make_ping(self, receiver: str) -> Ping:
+    def _build_ping(self, receiver: str) -> Ping:
         self.prober.sequence += 1
         address = self.blackboard.this_member.peer_address
-        return Ping(self.prober.sequence, address, self._updates_for(receiver))
+        return Ping(self.prober.sequence, address, self._pop_updates_for(receiver))
 
-    def _updates_for(self, receiver: str) -> Updates:
-        updates = self.updates.take(receiver)
-        change = self.table.find_doubt(receiver)
+    def _pop_updates_for(self, receiver: str) -> Updates:
+        updates = self.updates.pop_updates(receiver)
+        change = self.table.get_suspicion(receiver)
         if change is None:
             return updates
         return Updates(updates.entries, (*updates.changes, change))
 
-    def _merge(self, updates: Updates, spread: bool = True) -> list[Any]:
+    def _merge(self, updates: Updates, propagate: bool = True) -> list[Any]:
         effects: list[Any] = []
         for entry in updates.entries:
-            effects += self._merge_entry(entry, spread)
+            effects += self._merge_entry(entry, propagate)
         for change in updates.changes:
             effects += self._merge_change(change)
         return effects
 
-    def _merge_entry(self, entry: MemberEntry, spread: bool) -> list[Any]:
+    def _merge_entry(self, entry: MemberEntry, propagate: bool) -> list[Any]:
         try:
             member = entry.to_member()
         except IndexError:
@@ -230,9 +235,9 @@
             member.state is MemberState.DEAD
             and entry.daemon_id not in self.table.members
         ):
-            self.table.bury(entry.daemon_id, entry.incarnation)
+            self.table.add_tombstone(entry.daemon_id, entry.incarnation)
             return []
-        return self._put(member, whole=True, spread=spread)
+        return self._put(member, full_entry=True, propagate=propagate)
 
     def _merge_change(self, change: MemberChange) -> list[Any]:
         try:
@@ -246,26 +251,26 @@
         known = self.blackboard.members.get(change.daemon_id)
         if known is None:
             if state is MemberState.DEAD:
-                self.table.bury(change.daemon_id, change.incarnation)
+                self.table.add_tombstone(change.daemon_id, change.incarnation)
             return []
-        if state is MemberState.DEAD and self._heard_lately(change.daemon_id):
+        if state is MemberState.DEAD and self._received_recently(change.daemon_id):
             # Whoever found it dead may have lost the path to it; ask it to refute.
             state = MemberState.SUSPECT
         incarnation = change.incarnation
         return self._put(attrs.evolve(known, incarnation=incarnation, state=state))
 
-    def _heard_lately(self, daemon_id: str) -> bool:
-        heard = self.heard_at.get(daemon_id)
+    def _received_recently(self, daemon_id: str) -> bool:
+        received_at = self.last_received_at.get(daemon_id)
         limit = timedelta(milliseconds=self.settings.suspicion_timeout_ms)
-        return heard is not None and self.clock.monotonic() - heard < limit
+        return received_at is not None and self.clock.monotonic() - received_at < limit
 
     def _put(
-        self, member: Member, whole: bool = False, spread: bool = True
+        self, member: Member, full_entry: bool = False, propagate: bool = True
     ) -> list[Any]:
         known = self.blackboard.members.get(member.daemon_id)
         self.table.put(member, self.clock.monotonic())
-        if spread:
-            self.updates.add(member, whole)
+        if propagate:
+            self.updates.add(member, full_entry)
         if known is not None and known.state is member.state:
             return []
         fields = {
@@ -285,10 +290,10 @@
 
     def _announce(self, this: Member) -> list[Any]:
         self.blackboard.this_member = this
-        effects = self._put(this, whole=True)
-        return effects + self._send_urgently()
+        effects = self._put(this, full_entry=True)
+        return effects + self._send_urgent_pings()
 
-    def _send_urgently(self) -> list[Any]:
+    def _send_urgent_pings(self) -> list[Any]:
         names = sorted(
             member.daemon_id
             for member in self.blackboard.members.values()
@@ -297,17 +302,17 @@
         effects = []
         for name in self.rng.sample(names, min(URGENT_FANOUT, len(names))):
             address = self.blackboard.members[name].peer_address
-            effects.append(SendToPeer(address, self._make_ping(name), urgent=True))
+            effects.append(SendToPeer(address, self._build_ping(name), urgent=True))
         return effects
 
-    def _note_time(self, now: timedelta) -> list[Any]:
+    def _check_tick_gap(self, now: timedelta) -> list[Any]:
         last, self.last_tick = self.last_tick, now
         if last is None:
-            self._put(self.blackboard.this_member, whole=True)
+            self._put(self.blackboard.this_member, full_entry=True)
             if self.contacts.uses_registry:
                 return []
             return [FollowStream(MEMBERS_STREAM, MEMBERS_POLL_MS)]
-        if now - last > timedelta(milliseconds=PAUSE_LIMIT_MS):
+        if now - last > timedelta(milliseconds=MAX_TICK_GAP_MS):
             # What was known before a long pause is no news to anybody any more.
             self.updates.clear()
             self.prober.probe = None
@@ -322,9 +327,11 @@
         local = board.local_services
         # Others take a new target for requests only once they know what is served.
         is_urgent = state is not this.state or not local.issubset(this.serves)
-        if not is_urgent and now < self.services_at:
+        if not is_urgent and now < self.next_services_update_at:
             return []
-        self.services_at = now + timedelta(milliseconds=SERVICES_UPDATE_MS)
+        self.next_services_update_at = now + timedelta(
+            milliseconds=SERVICES_UPDATE_INTERVAL_MS
+        )
         serves = tuple(sorted(local))
         services = serves + tuple(sorted(board.wanted_services - local))
         changed = attrs.evolve(this, services=services, serves=serves, state=state)
@@ -332,13 +339,13 @@
             return []
         return self._announce(attrs.evolve(changed, incarnation=this.incarnation + 1))
 
-    def _finish_probe(self, now: timedelta) -> list[Any]:
-        probe = self.prober.take_failed(now)
-        if probe is None or self.last_heard < probe.started_at:
+    def _handle_failed_probe(self, now: timedelta) -> list[Any]:
+        probe = self.prober.pop_timed_out_probe(now)
+        if probe is None or self.last_message_at < probe.started_at:
             # A daemon that hears nobody is probably cut off itself.
             return []
         member = self.blackboard.members.get(probe.daemon_id)
-        if member is None or self._heard_lately(probe.daemon_id):
+        if member is None or self._received_recently(probe.daemon_id):
             return []
         if member.state is MemberState.ALIVE:
             return self._put(attrs.evolve(member, state=MemberState.SUSPECT))
@@ -346,18 +353,18 @@
             return self._put(attrs.evolve(member, state=MemberState.DEAD))
         return []
 
-    def _bury(self, now: timedelta) -> list[Any]:
+    def _mark_expired_suspects_dead(self, now: timedelta) -> list[Any]:
         timeout = timedelta(milliseconds=self.settings.suspicion_timeout_ms)
         effects: list[Any] = []
         for daemon_id in self.table.expired_suspects(now, timeout):
-            if self._heard_lately(daemon_id):
+            if self._received_recently(daemon_id):
                 # It lives; its refutation is still on its way.
                 self.table.suspected_at[daemon_id] = now
                 continue
             member = self.blackboard.members[daemon_id]
             effects += self._put(attrs.evolve(member, state=MemberState.DEAD))
         if effects:
-            effects += self._send_urgently()
+            effects += self._send_urgent_pings()
         if now >= self.prune_at:
             self._prune(now)
         return effects
@@ -365,7 +372,9 @@
     def _prune(self, now: timedelta) -> None:
         self.prune_at = now + timedelta(milliseconds=PRUNE_INTERVAL_MS)
         retention = timedelta(seconds=self.settings.dead_retention_s)
-        self.table.forget_dead(now, retention)
-        self.heard_at = {
-            name: at for name, at in self.heard_at.items() if self._heard_lately(name)
+        self.table.expire_dead(now, retention)
+        self.last_received_at = {
+            name: at
+            for name, at in self.last_received_at.items()
+            if self._received_recently(name)
         }
--- a/src/wagtailstep/controllers/probing.py
+++ b/src/wagtailstep/controllers/probing.py
@@ -52,7 +52,7 @@
     :param self_id: ``daemon_id`` of this daemon.
     :param address: ``host:port`` of this daemon's control channel.
     :param rng: source of random choices.
-    :param silent: daemons that did not answer lately, to be tried again.
+    :param unresponsive: daemons that did not answer lately, to be tried again.
     """
 
     settings: MembershipSettings
@@ -63,35 +63,35 @@
     sequence: int = 0
     probe: Probe | None = None
     relays: dict[int, Relay] = attrs.field(factory=dict)
-    round: list[str] = attrs.field(factory=list)
-    silent: list[str] = attrs.field(factory=list)
-    retries_next: bool = False
-    next_at: timedelta | None = None
+    probe_order: list[str] = attrs.field(factory=list)
+    unresponsive: list[str] = attrs.field(factory=list)
+    retry_unresponsive_next: bool = False
+    next_probe_at: timedelta | None = None
 
-    def start(self, now: timedelta) -> Member | None:
+    def start_probe(self, now: timedelta) -> Member | None:
         """Start the next probe if it is due.
 
         :return: the member to ping, or ``None``.
         """
         interval = timedelta(milliseconds=self.settings.probe_interval_ms)
-        if self.next_at is None:
+        if self.next_probe_at is None:
             # Daemons that start together don't ping in step.
-            self.next_at = now + interval * self.rng.random()
-        if self.probe is not None or now < self.next_at:
+            self.next_probe_at = now + interval * self.rng.random()
+        if self.probe is not None or now < self.next_probe_at:
             return None
-        self.next_at = now + interval
+        self.next_probe_at = now + interval
         member = self._next_member()
         if member is not None:
             self.sequence += 1
             self.probe = Probe(self.sequence, member.daemon_id, now)
         return member
 
-    def make_ping(self, member: Member, updates: Updates) -> SendToPeer:
+    def build_ping(self, member: Member, updates: Updates) -> SendToPeer:
         """Return the ping of the probe that was just started."""
         ping = Ping(self.sequence, self.address, updates)
         return SendToPeer(member.peer_address, ping)
 
-    def ask_others(self, now: timedelta) -> list[SendToPeer]:
+    def request_indirect_probes(self, now: timedelta) -> list[SendToPeer]:
         """Ask other daemons to ping a daemon that doesn't answer, once."""
         probe = self.probe
         wait = timedelta(milliseconds=self.settings.probe_timeout_ms)
@@ -105,17 +105,17 @@
         helpers = self._choose_helpers(probe.daemon_id)
         return [SendToPeer(helper.peer_address, request) for helper in helpers]
 
-    def take_failed(self, now: timedelta) -> Probe | None:
+    def pop_timed_out_probe(self, now: timedelta) -> Probe | None:
         """Return the probe whose time is over, and forget it."""
         probe = self.probe
         limit = timedelta(milliseconds=self.settings.probe_interval_ms)
         if probe is None or now - probe.started_at < limit:
             return None
         self.probe = None
-        self.silent.append(probe.daemon_id)
+        self.unresponsive.append(probe.daemon_id)
         return probe
 
-    def take_answered(self, sequence: int) -> str | None:
+    def complete_probe(self, sequence: int) -> str | None:
         """End the probe that an answer belongs to, if there is one.
 
         :return: the daemon that was reached, directly or through another one.
@@ -126,7 +126,7 @@
         self.probe = None
         return probe.daemon_id
 
-    def pass_on(self, sequence: int, updates: Updates) -> SendToPeer:
+    def forward_ack(self, sequence: int, updates: Updates) -> SendToPeer:
         """Pass an answer on to the daemon that asked for the ping.
 
         :raises KeyError: if ``sequence`` is not in ``relays``.
@@ -134,7 +134,7 @@
         relay = self.relays.pop(sequence)
         return SendToPeer(relay.reply_to, Ack(relay.sequence, updates=updates))
 
-    def relay(
+    def relay_ping(
         self, request: PingRequest, updates: Updates, now: timedelta
     ) -> SendToPeer:
         """Ping a daemon for another one."""
@@ -152,25 +152,25 @@
             del self.relays[key]
 
     def _next_member(self) -> Member | None:
-        again = self._next_silent()
+        again = self._next_unresponsive()
         if again is not None:
             return again
         while True:
-            if not self.round:
-                self.round = self._candidates()
-                self.rng.shuffle(self.round)
-            if not self.round:
+            if not self.probe_order:
+                self.probe_order = self._candidates()
+                self.rng.shuffle(self.probe_order)
+            if not self.probe_order:
                 return None
-            member = self.members.get(self.round.pop())
+            member = self.members.get(self.probe_order.pop())
             if member is not None and member.state is not MemberState.DEAD:
                 return member
 
-    def _next_silent(self) -> Member | None:
+    def _next_unresponsive(self) -> Member | None:
         # What was silent is tried again, through other daemons than before, but only
         # in every second turn: after a large failure the others must be found too.
-        self.retries_next = not self.retries_next
-        while self.silent and self.retries_next:
-            member = self.members.get(self.silent.pop())
+        self.retry_unresponsive_next = not self.retry_unresponsive_next
+        while self.unresponsive and self.retry_unresponsive_next:
+            member = self.members.get(self.unresponsive.pop())
             if member is not None and member.state is MemberState.SUSPECT:
                 return member
         return None
--- a/src/wagtailstep/controllers/published_table.py
+++ b/src/wagtailstep/controllers/published_table.py
@@ -54,8 +54,8 @@
         self.read_document = read_document
         self.members = TableMembers(settings.daemon_id, blackboard, rng)
         self.document: TableDocument | None = None
-        self.unreadable: set[int] = set()
-        self.digest_at = timedelta()
+        self.unreadable_versions: set[int] = set()
+        self.next_digest_at = timedelta()
 
     @property
     def version(self) -> int:
@@ -69,65 +69,68 @@
 
     @handle.register
     def _(self, event: TablePublished) -> list[Any]:
-        return self.take(event.document, event.source)
+        return self.apply_document(event.document, event.source)
 
     @handle.register
     def _(self, event: PeerMessageReceived) -> list[Any]:
-        return self.take_message(event.message, event.sender)
+        return self.handle_message(event.message, event.sender)
 
     @handle.register
     def _(self, event: Tick) -> list[Any]:
         now = self.clock.monotonic()
-        if now < self.digest_at:
+        if now < self.next_digest_at:
             return []
         interval = timedelta(milliseconds=self.settings.digest_interval_ms)
-        self.digest_at = now + interval * (0.75 + 0.5 * self.rng.random())
+        self.next_digest_at = now + interval * (0.75 + 0.5 * self.rng.random())
         message = TableVersionMessage(self.version)
         effects: list[Any] = []
-        for member in self.members.pick(1):
+        for member in self.members.sample(1):
             effects += self.members.send_to(member.daemon_id, message)
         return effects
 
     @singledispatchmethod
-    def take_message(self, message: Any, sender: str) -> list[Any]:
+    def handle_message(self, message: Any, sender: str) -> list[Any]:
         """Ignore a message that is not about the table."""
         return []
 
-    @take_message.register
+    @handle_message.register
     def _(self, message: TableVersionMessage, sender: str) -> list[Any]:
         if message.version < self.version:
-            return self.send(sender)
+            return self.send_document(sender)
         if message.version > self.version:
             return self.members.send_to(sender, TableVersionMessage(self.version))
         return []
 
-    @take_message.register
+    @handle_message.register
     def _(self, message: TableDocumentMessage, sender: str) -> list[Any]:
-        return self.take(TableDocument(message.version, message.data), sender)
+        return self.apply_document(TableDocument(message.version, message.data), sender)
 
-    def send(self, daemon_id: str) -> list[Any]:
+    def send_document(self, daemon_id: str) -> list[Any]:
         """Send the document in force to a member."""
         if self.document is None:
             return []
         message = TableDocumentMessage(self.document.version, self.document.data)
         return self.members.send_to(daemon_id, message)
 
-    def take(self, document: TableDocument, source: str) -> list[Any]:
+    def apply_document(self, document: TableDocument, source: str) -> list[Any]:
         """Put a document in force if it is newer, and pass it on."""
-        if document.version <= self.version or document.version in self.unreadable:
+        if (
+            document.version <= self.version
+            or document.version in self.unreadable_versions
+        ):
             return []
         try:
             table = self.read_document(document)
         except DecodeError as error:
-            self.unreadable.add(document.version)
+            self.unreadable_versions.add(document.version)
             fields = {"version": str(document.version), "error": str(error)}
             return [RecordEvent("table-unreadable", fields)]
         self.document = document
         self.put_in_force(table)
         fields = {"version": str(document.version), "source": source}
         effects: list[Any] = [RecordEvent("table-in-force", fields)]
-        for member in self.members.pick(self.settings.push_fanout):
-            effects += self.send(member.daemon_id)
+        for member in self.members.sample(self.settings.push_fanout):
+            effects += self.send_document(member.daemon_id)
         return effects
 
     def put_in_force(self, table: Table) -> None:
--- a/src/wagtailstep/controllers/pulls.py
+++ b/src/wagtailstep/controllers/pulls.py
@@ -5,19 +5,19 @@
 import attrs
 
 PULL_INTERVAL = timedelta(milliseconds=200)
-QUICK_ATTEMPTS = 4
-MAX_DOUBLINGS = 5
+ATTEMPTS_BEFORE_BACKOFF = 4
+MAX_BACKOFF_DOUBLINGS = 5
 
 
 @attrs.define
 class Pull:
     """Requests for news of one daemon that have not helped yet.
 
-    :param asked_at: monotonic time of the last request.
+    :param requested_at: monotonic time of the last request.
     :param attempts: number of requests.
     """
 
-    asked_at: timedelta
+    requested_at: timedelta
     attempts: int = 1
 
 
@@ -30,7 +30,7 @@
 
     pulls: dict[str, Pull] = attrs.field(factory=dict)
 
-    def start(self, daemon_id: str, now: timedelta) -> bool:
+    def try_start(self, daemon_id: str, now: timedelta) -> bool:
         """Count a request, unless it is too early for another one.
 
         After a few requests that didn't help the time between two doubles. It stays
@@ -42,10 +42,12 @@
         if pull is None:
             self.pulls[daemon_id] = Pull(now)
             return True
-        doublings = min(max(0, pull.attempts - QUICK_ATTEMPTS), MAX_DOUBLINGS)
-        if now - pull.asked_at < PULL_INTERVAL * 2**doublings:
+        doublings = min(
+            max(0, pull.attempts - ATTEMPTS_BEFORE_BACKOFF), MAX_BACKOFF_DOUBLINGS
+        )
+        if now - pull.requested_at < PULL_INTERVAL * 2**doublings:
             return False
-        pull.asked_at = now
+        pull.requested_at = now
         pull.attempts += 1
         return True
 
@@ -59,6 +61,6 @@
         """
         return self.pulls[daemon_id].attempts % 2 == int(owner_first)
 
-    def forget(self, daemon_id: str) -> None:
+    def discard(self, daemon_id: str) -> None:
         """Forget the requests about a daemon, since one helped or none is needed."""
         self.pulls.pop(daemon_id, None)
--- a/src/wagtailstep/controllers/wanted.py
+++ b/src/wagtailstep/controllers/requested_services.py
@@ -9,56 +9,56 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.utils.clock import Clock
 
-MAX_WANTED_SERVICES = 1_024
-WANTED_LIFETIME = timedelta(minutes=10)
-DISCOVERY_TIME = timedelta(seconds=1)
+MAX_REQUESTED_SERVICES = 1_024
+REQUESTED_SERVICE_RETENTION = timedelta(minutes=10)
+DISCOVERY_PERIOD = timedelta(seconds=1)
 
 
 @attrs.define
-class WantedService:
+class RequestedService:
     """When a service was asked for.
 
-    :param since: monotonic time of the first request.
-    :param last: monotonic time of the latest request.
+    :param first_requested_at: monotonic time of the first request.
+    :param last_requested_at: monotonic time of the latest request.
     """
 
-    since: timedelta
-    last: timedelta
+    first_requested_at: timedelta
+    last_requested_at: timedelta
 
 
-class WantedServices:
+class RequestedServices:
     """Keep ``blackboard.wanted_services`` bounded and up to date."""
 
     def __init__(self, blackboard: Blackboard, clock: Clock) -> None:
         self.blackboard = blackboard
         self.clock = clock
-        self.by_name: OrderedDict[str, WantedService] = OrderedDict()
+        self.by_name: OrderedDict[str, RequestedService] = OrderedDict()
 
-    def note_request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Note that a caller asks for a service, so that its targets get known.
 
         :raises NoTargetError: if too many services are wanted.
         """
         now = self.clock.monotonic()
-        wanted = self.by_name.get(service)
-        if wanted is not None:
-            wanted.last = now
+        requested = self.by_name.get(service)
+        if requested is not None:
+            requested.last_requested_at = now
             self.by_name.move_to_end(service)
             return
-        if len(self.by_name) >= MAX_WANTED_SERVICES:
+        if len(self.by_name) >= MAX_REQUESTED_SERVICES:
             raise NoTargetError(
                 f"service {service!r} is not known to this daemon, which already "
-                f"serves {MAX_WANTED_SERVICES} services; come back later"
+                f"serves {MAX_REQUESTED_SERVICES} services; come back later"
             )
-        self.by_name[service] = WantedService(now, now)
+        self.by_name[service] = RequestedService(now, now)
         self.blackboard.wanted_services.add(service)
 
     def expire(self) -> None:
         """Drop services that nobody asked for lately."""
-        oldest_kept = self.clock.monotonic() - WANTED_LIFETIME
+        oldest_kept = self.clock.monotonic() - REQUESTED_SERVICE_RETENTION
         while self.by_name:
-            service, wanted = next(iter(self.by_name.items()))
-            if wanted.last >= oldest_kept:
+            service, requested = next(iter(self.by_name.items()))
+            if requested.last_requested_at >= oldest_kept:
                 return
             del self.by_name[service]
             self.blackboard.wanted_services.discard(service)
@@ -68,7 +68,7 @@
 
         That is so for a short time after the first request for it.
         """
-        wanted = self.by_name.get(service)
-        if wanted is None or self.blackboard.targets.of_service(service):
+        requested = self.by_name.get(service)
+        if requested is None or self.blackboard.targets.of_service(service):
             return False
-        return self.clock.monotonic() - wanted.since < DISCOVERY_TIME
+        return self.clock.monotonic() - requested.first_requested_at < DISCOVERY_PERIOD
--- a/src/wagtailstep/controllers/routing.py
+++ b/src/wagtailstep/controllers/routing.py
@@ -16,7 +16,7 @@
 import attrs
 
 from wagtailstep.controllers.limits import AccountLimiter, check_concurrency
-from wagtailstep.controllers.wanted import WantedServices
+from wagtailstep.controllers.requested_services import RequestedServices
 from wagtailstep.exceptions import NoTargetError
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import Tick
@@ -123,7 +123,7 @@
         self.rng = rng
         self.choices: dict[str, Choice] = {}
         self.accounts = AccountLimiter(settings.requests, clock)
-        self.wanted = WantedServices(blackboard, clock)
+        self.wanted = RequestedServices(blackboard, clock)
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
@@ -142,7 +142,7 @@
             account is reached; the request is not counted then.
         :raises NoTargetError: if its service is unknown and too many are wanted.
         """
-        self.wanted.note_request(request.service)
+        self.wanted.record_request(request.service)
         check_concurrency(self.blackboard, request)
         self.accounts.take(self.blackboard.table, request)
         in_flight = self.blackboard.in_flight
--- a/src/wagtailstep/controllers/table.py
+++ b/src/wagtailstep/controllers/table.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 from wagtailstep.controllers.table_exchange import (
-    report_outcome,
+    build_outcome_event,
 )
 from wagtailstep.controllers.table_gossip import TableGossip
 from wagtailstep.controllers.table_members import TableMembers
 from wagtailstep.controllers.table_snapshots import SnapshotWriter
-from wagtailstep.controllers.table_start import FirstTable
+from wagtailstep.controllers.table_start import FirstTableCheck
 from wagtailstep.controllers.table_transfer import SnapshotReceiver, SnapshotSender
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import (
@@ -68,12 +68,12 @@
         self.clock = clock
         self.rng = rng
         self.members = TableMembers(settings.daemon_id, blackboard, rng)
-        recent_for = timedelta(milliseconds=RECENT_POLLS * settings.log.poll_ms)
-        self.first_table = FirstTable(settings.table, clock, recent_for)
+        recency_limit = timedelta(milliseconds=RECENT_POLLS * settings.log.poll_ms)
+        self.first_table = FirstTableCheck(settings.table, clock, recency_limit)
         self.reader = self.reader_class()
-        self.sender = SnapshotSender(settings.table, clock, rng)
-        self.receiver = SnapshotReceiver(settings.table, clock)
-        self.writer = SnapshotWriter(settings, clock, rng)
+        self.snapshot_sender = SnapshotSender(settings.table, clock, rng)
+        self.snapshot_receiver = SnapshotReceiver(settings.table, clock)
+        self.snapshot_writer = SnapshotWriter(settings, clock, rng)
         self.gossip = TableGossip(
             settings.table,
             blackboard,
@@ -82,7 +82,7 @@
             self.reader,
             self.members,
             self.first_table,
-            self.receiver,
+            self.snapshot_receiver,
         )
         self.following = False
         self.unconfirmed: list[LogRecord] = []
@@ -100,17 +100,17 @@
         if not self.following:
             self.following = True
             effects.append(FollowStream(TABLE_STREAM))
-        effects += self.confirm_late()
-        effects += self.pass_on()
-        effects += self.receiver.tick()
+        effects += self.confirm_timed_out()
+        effects += self.propagate()
+        effects += self.snapshot_receiver.tick()
         effects += self.write_snapshot()
-        self.sender.drop_stale()
-        return effects + self.check_known()
+        self.snapshot_sender.discard_stale()
+        return effects + self.activate_first_table()
 
-    def pass_on(self) -> list[Any]:
+    def propagate(self) -> list[Any]:
         """Send digests and the newest records, from time to time."""
-        effects: list[Any] = list(self.gossip.repeat_records())
-        if not self.gossip.is_digest_due():
+        effects: list[Any] = list(self.gossip.resend_records())
+        if not self.gossip.try_start_digest():
             return effects
         if self.unconfirmed:
             effects += self.push_unconfirmed()
@@ -121,10 +121,10 @@
         if event.stream != TABLE_STREAM:
             return []
         if not self.blackboard.table_known:
-            return self.take_log_records(event.records)
+            return self.apply_log_records(event.records)
         fresh = [r for r in event.records if r.offset >= self.held_position]
         old = [r for r in event.records if r.offset < self.held_position]
-        effects = self.take_log_records(old)
+        effects = self.apply_log_records(old)
         return effects + self.hold_records(fresh)
 
     @handle.register
@@ -133,8 +133,8 @@
             return []
         if event.next_offset == 0:
             self.reader.start_empty()
-        self.first_table.note_caught_up(event.next_offset)
-        return self.check_known()
+        self.first_table.record_caught_up(event.next_offset)
+        return self.activate_first_table()
 
     @handle.register
     def _(self, event: LogGap) -> list[Any]:
@@ -146,52 +146,52 @@
 
     @handle.register
     def _(self, event: LogAppendSettled) -> list[Any]:
-        return list(self.writer.settle(event))
+        return list(self.snapshot_writer.complete_append(event))
 
     @handle.register
     def _(self, event: PeerMessageReceived) -> list[Any]:
-        return self.take_message(event.message, event.sender)
+        return self.handle_message(event.message, event.sender)
 
     @functools.singledispatchmethod
-    def take_message(self, message: Any, sender: str) -> list[Any]:
+    def handle_message(self, message: Any, sender: str) -> list[Any]:
         """Take one message of another daemon."""
         return []
 
-    @take_message.register
+    @handle_message.register
     def _(self, message: TableDigest, sender: str) -> list[Any]:
         if not self.blackboard.table_known:
-            self.first_table.note_digest(sender, message)
+            self.first_table.record_digest(sender, message)
         effects = self.confirm_before(message.position)
         if effects and self.unconfirmed:
             effects += self.push_unconfirmed()
         effects += self.compare_content(message, sender)
-        effects += self.gossip.answer_digest(message, sender)
-        return effects + self.check_known()
+        effects += self.gossip.handle_digest(message, sender)
+        return effects + self.activate_first_table()
 
-    @take_message.register
+    @handle_message.register
     def _(self, message: TableRecords, sender: str) -> list[Any]:
-        effects = self.take_peer_records(message.records)
+        effects = self.apply_peer_records(message.records)
         behind = message.records and message.records[-1].offset >= self.reader.position
         if message.wants_answer or behind:
-            effects += self.members.send_to(sender, self.gossip.make_digest())
-        return effects + self.check_known()
+            effects += self.members.send_to(sender, self.gossip.build_digest())
+        return effects + self.activate_first_table()
 
-    @take_message.register
+    @handle_message.register
     def _(self, message: TableSnapshotRequest, sender: str) -> list[Any]:
         if self.reader.fold is None:
             return []
-        chunk = self.sender.answer(message, self.reader.fold)
+        chunk = self.snapshot_sender.handle_request(message, self.reader.fold)
         return [] if chunk is None else self.members.send_to(sender, chunk)
 
-    @take_message.register
+    @handle_message.register
     def _(self, message: TableSnapshotChunk, sender: str) -> list[Any]:
-        effects, fold = self.receiver.take(sender, message)
+        effects, fold = self.snapshot_receiver.handle_chunk(sender, message)
         result: list[Any] = list(effects)
         if fold is not None:
             before = self.reader.position
             outcomes = self.reader.restore(fold)
-            result += self.note_progress(before, outcomes)
-        return result + self.check_known()
+            result += self.report_progress(before, outcomes)
+        return result + self.activate_first_table()
 
     # Records of the log
 
@@ -202,20 +202,20 @@
             return self.unconfirmed[-1].offset + 1
         return self.reader.position
 
-    def take_log_records(self, records: Iterable[LogRecord]) -> list[Any]:
+    def apply_log_records(self, records: Iterable[LogRecord]) -> list[Any]:
         """Fold records of the log at once."""
         before = self.reader.position
         outcomes: list[EditOutcome] = []
         for record in records:
             outcomes += self.reader.read_log(record)
-        return self.note_progress(before, outcomes)
+        return self.report_progress(before, outcomes)
 
     def hold_records(self, records: list[LogRecord]) -> list[Any]:
         """Keep new records until another daemon holds them too, and push them."""
         if not records:
             return []
         if not self.members.count():
-            return self.take_log_records(records)
+            return self.apply_log_records(records)
         if not self.unconfirmed:
             self.unconfirmed_since = self.clock.monotonic()
         self.unconfirmed += records
@@ -223,7 +223,7 @@
 
     def push_unconfirmed(self) -> list[Any]:
         """Send the records that wait to a few random members."""
-        return self.gossip.push(self.unconfirmed, wants_answer=True)
+        return self.gossip.push_records(self.unconfirmed, wants_answer=True)
 
     def confirm_before(self, position: int) -> list[Any]:
         """Fold the waiting records before an offset that another daemon holds."""
@@ -232,9 +232,9 @@
             return []
         self.unconfirmed = [r for r in self.unconfirmed if r.offset >= position]
         self.unconfirmed_since = self.clock.monotonic()
-        return self.take_log_records(ready)
+        return self.apply_log_records(ready)
 
-    def confirm_late(self) -> list[Any]:
+    def confirm_timed_out(self) -> list[Any]:
         """Fold the waiting records if no member answered in time."""
         timeout = timedelta(milliseconds=self.settings.table.confirm_timeout_ms)
         if not self.unconfirmed:
@@ -243,7 +243,7 @@
             return []
         return self.confirm_before(self.held_position)
 
-    def take_peer_records(self, records: tuple[LogRecord, ...]) -> list[Any]:
+    def apply_peer_records(self, records: tuple[LogRecord, ...]) -> list[Any]:
         """Fold records that another daemon holds, and pass new ones on."""
         if not records:
             return []
@@ -257,11 +257,11 @@
         for record in records:
             outcomes += self.reader.offer(record)
             if not record.data:
-                self.writer.put_off()
-        effects += self.note_progress(before, outcomes)
+                self.snapshot_writer.defer()
+        effects += self.report_progress(before, outcomes)
         if self.reader.position > before and self.blackboard.table_known:
             fresh = self.reader.tail.read(before, self.settings.table.reply_bytes)
-            effects += self.gossip.push(fresh, wants_answer=False)
+            effects += self.gossip.push_records(fresh, wants_answer=False)
         return effects
 
     def compare_content(self, digest: TableDigest, sender: str) -> list[Any]:
@@ -269,27 +269,29 @@
         fold = self.reader.fold
         if fold is None or digest.position < 0:
             return []
-        mine = fold.hash_at(digest.version)
-        if mine is None or mine == digest.content_hash:
+        local_hash = fold.hash_at(digest.version)
+        if local_hash is None or local_hash == digest.content_hash:
             return []
         fields = {"other": sender, "version": str(digest.version)}
         effects: list[Any] = [RecordEvent("table-diverged", fields)]
         if not self.blackboard.table_known:
             # Only a wrong snapshot makes them differ; the member's table is older.
             self.reader.reset()
-            effects += self.gossip.ask_missing(digest, sender)
+            effects += self.gossip.request_missing(digest, sender)
         return effects
 
     # The table in force
 
-    def note_progress(self, before: int, outcomes: list[EditOutcome]) -> list[Any]:
+    def report_progress(self, before: int, outcomes: list[EditOutcome]) -> list[Any]:
         """Report decided edits and the version that is in force now."""
-        effects: list[Any] = list(self.writer.note_seen(self.reader.seen))
+        effects: list[Any] = list(
+            self.snapshot_writer.record_snapshots(self.reader.seen)
+        )
         self.reader.seen.clear()
         if self.reader.fold is not None:
-            self.writer.note_edits(self.reader.fold)
+            self.snapshot_writer.record_edits(self.reader.fold)
         if self.blackboard.table_known:
-            effects += [report_outcome(outcome) for outcome in outcomes]
+            effects += [build_outcome_event(outcome) for outcome in outcomes]
         if self.reader.position > before and self.blackboard.table_known:
             effects += self.put_in_force()
         return effects
@@ -308,18 +310,18 @@
         board.table_since = self.clock.utc()
         return [RecordEvent("table-in-force", {"version": str(fold.version)})]
 
-    def check_known(self) -> list[Any]:
+    def activate_first_table(self) -> list[Any]:
         """Put the first table in force once it can't be an older one."""
         if self.blackboard.table_known:
             return []
         if not self.first_table.accepts(self.reader.position, self.members.count()):
             return []
-        for sender, digest in self.first_table.heard.items():
+        for sender, digest in self.first_table.member_digests.items():
             differences = self.compare_content(digest, sender)
             if differences:
                 return differences
         self.blackboard.table_known = True
-        self.first_table.heard.clear()
+        self.first_table.member_digests.clear()
         return self.put_in_force()
 
     def write_snapshot(self) -> list[Any]:
@@ -327,5 +329,5 @@
         fold = self.reader.fold
         if fold is None or not self.blackboard.table_known:
             return []
-        caught_up = self.first_table.is_recent()
-        return list(self.writer.tick(fold, caught_up))
+        caught_up = self.first_table.is_caught_up()
+        return list(self.snapshot_writer.tick(fold, caught_up))
--- a/src/wagtailstep/controllers/table_exchange.py
+++ b/src/wagtailstep/controllers/table_exchange.py
@@ -9,7 +9,7 @@
 from wagtailstep.models.table_reader import TAIL_BYTES, TableReader, decode_part
 
 
-def make_digest(
+def build_digest(
     reader: TableReader, in_force: bool, wants_answer: bool = False
 ) -> TableDigest:
     """Return how far a reader is.
@@ -30,7 +30,7 @@
     )
 
 
-def take_first_records(
+def select_first_records(
     records: Iterable[LogRecord], max_bytes: int
 ) -> tuple[LogRecord, ...]:
     """Return the first records, without the data of snapshots.
@@ -39,19 +39,19 @@
 
     :param max_bytes: roughly how many bytes of data at most.
     """
-    taken: list[LogRecord] = []
+    selected: list[LogRecord] = []
     size = 0
     for record in records:
         if decode_part(record) is not None:
             record = LogRecord(record.offset, b"")
         size += len(record.data)
-        if len(record.data) > TAIL_BYTES or (taken and size > max_bytes):
+        if len(record.data) > TAIL_BYTES or (selected and size > max_bytes):
             break
-        taken.append(record)
-    return tuple(taken)
+        selected.append(record)
+    return tuple(selected)
 
 
-def report_outcome(outcome: EditOutcome) -> RecordEvent:
+def build_outcome_event(outcome: EditOutcome) -> RecordEvent:
     """Return the event for one decided edit."""
     fields = {"edit_id": outcome.edit_id, "version": str(outcome.version)}
     if outcome.verdict is not EditVerdict.ACCEPTED:
--- a/src/wagtailstep/controllers/table_gossip.py
+++ b/src/wagtailstep/controllers/table_gossip.py
@@ -6,9 +6,9 @@
 
 import attrs
 
-from wagtailstep.controllers.table_exchange import make_digest, take_first_records
+from wagtailstep.controllers.table_exchange import build_digest, select_first_records
 from wagtailstep.controllers.table_members import TableMembers
-from wagtailstep.controllers.table_start import FirstTable
+from wagtailstep.controllers.table_start import FirstTableCheck
 from wagtailstep.controllers.table_transfer import SnapshotReceiver
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import SendToPeer
@@ -26,7 +26,7 @@
     :param reader: the fold and its newest records.
     :param members: the other members.
     :param first_table: what was heard before the first table.
-    :param receiver: pulls snapshots.
+    :param snapshot_receiver: pulls snapshots.
     """
 
     settings: TableSettings
@@ -35,16 +35,16 @@
     rng: random.Random
     reader: TableReader
     members: TableMembers
-    first_table: FirstTable
-    receiver: SnapshotReceiver
+    first_table: FirstTableCheck
+    snapshot_receiver: SnapshotReceiver
     next_digest_at: timedelta = timedelta()
     next_repeat_at: timedelta = timedelta()
 
-    def make_digest(self, wants_answer: bool = False) -> TableDigest:
+    def build_digest(self, wants_answer: bool = False) -> TableDigest:
         """Return how far this daemon's table is."""
-        return make_digest(self.reader, self.blackboard.table_known, wants_answer)
+        return build_digest(self.reader, self.blackboard.table_known, wants_answer)
 
-    def is_digest_due(self) -> bool:
+    def try_start_digest(self) -> bool:
         """Tell whether it is time for a digest, and set the next time."""
         now = self.clock.monotonic()
         if now < self.next_digest_at:
@@ -56,11 +56,11 @@
     def send_digest(self) -> list[SendToPeer]:
         """Tell a random member how far the table is."""
         if not self.blackboard.table_known:
-            return self.ask_first_members()
-        digest = self.make_digest()
-        return [SendToPeer(m.peer_address, digest) for m in self.members.pick(1)]
+            return self.request_first_digests()
+        digest = self.build_digest()
+        return [SendToPeer(m.peer_address, digest) for m in self.members.sample(1)]
 
-    def repeat_records(self) -> list[SendToPeer]:
+    def resend_records(self) -> list[SendToPeer]:
         """Send the newest records to a random member, from time to time."""
         now = self.clock.monotonic()
         if now < self.next_repeat_at or not self.blackboard.table_known:
@@ -68,64 +68,64 @@
         interval = timedelta(milliseconds=self.settings.repeat_interval_ms)
         self.next_repeat_at = now + interval * self.rng.uniform(0.75, 1.25)
         records = self.reader.tail.read_last(self.settings.repeat_bytes)
-        members = self.members.pick(1) if records else []
+        members = self.members.sample(1) if records else []
         message = TableRecords(records)
         return [SendToPeer(m.peer_address, message) for m in members]
 
-    def ask_first_members(self) -> list[SendToPeer]:
+    def request_first_digests(self) -> list[SendToPeer]:
         """Ask some members for their digests, with no table in force yet."""
-        self.first_table.note_asking()
-        digest = self.make_digest(wants_answer=True)
-        members = self.members.pick(self.settings.first_answers)
+        self.first_table.mark_requesting()
+        digest = self.build_digest(wants_answer=True)
+        members = self.members.sample(self.settings.first_answers)
         return [SendToPeer(m.peer_address, digest) for m in members]
 
-    def answer_digest(self, digest: TableDigest, sender: str) -> list[SendToPeer]:
+    def handle_digest(self, digest: TableDigest, sender: str) -> list[SendToPeer]:
         """Send what the sender lacks, or ask for what this daemon lacks."""
-        mine = self.reader.position
-        if digest.position < mine:
+        local_position = self.reader.position
+        if digest.position < local_position:
             return self.send_missing(digest, sender)
-        if digest.position > mine:
-            return self.ask_missing(digest, sender)
+        if digest.position > local_position:
+            return self.request_missing(digest, sender)
         if not digest.wants_answer:
             return []
-        return self.members.send_to(sender, self.make_digest())
+        return self.members.send_to(sender, self.build_digest())
 
     def send_missing(self, digest: TableDigest, sender: str) -> list[SendToPeer]:
         """Send records after the sender's position, or tell how far this one is."""
         effects: list[SendToPeer] = []
         if digest.wants_answer:
-            effects = self.members.send_to(sender, self.make_digest())
+            effects = self.members.send_to(sender, self.build_digest())
         tail = self.reader.tail
         start = max(digest.position, 0)
         if start < tail.start:
-            return effects or self.members.send_to(sender, self.make_digest())
+            return effects or self.members.send_to(sender, self.build_digest())
         records = tail.read(start, self.settings.reply_bytes)
-        more = bool(records) and records[-1].offset + 1 < self.reader.position
-        wants_answer = more or not self.blackboard.table_known
+        has_more = bool(records) and records[-1].offset + 1 < self.reader.position
+        wants_answer = has_more or not self.blackboard.table_known
         message = TableRecords(records, wants_answer)
         return effects + self.members.send_to(sender, message)
 
-    def ask_missing(self, digest: TableDigest, sender: str) -> list[SendToPeer]:
+    def request_missing(self, digest: TableDigest, sender: str) -> list[SendToPeer]:
         """Ask a daemon that is ahead for records or for a snapshot."""
-        mine = max(self.reader.position, 0)
-        if digest.tail_start <= mine:
-            return self.members.send_to(sender, self.make_digest())
+        local_position = max(self.reader.position, 0)
+        if digest.tail_start <= local_position:
+            return self.members.send_to(sender, self.build_digest())
         member = self.blackboard.members.get(sender)
-        if member is None or self.log_delivers():
+        if member is None or self.expects_log_delivery():
             return []
-        return self.receiver.start(sender, member.peer_address)
+        return self.snapshot_receiver.start(sender, member.peer_address)
 
-    def log_delivers(self) -> bool:
+    def expects_log_delivery(self) -> bool:
         """Tell whether the log will deliver what this daemon lacks."""
         has_gap = self.reader.position < 0 or bool(self.reader.pending)
-        return not has_gap and self.first_table.is_recent()
+        return not has_gap and self.first_table.is_caught_up()
 
-    def push(
+    def push_records(
         self, records: Iterable[LogRecord], wants_answer: bool
     ) -> list[SendToPeer]:
         """Send records to a few random members, within the size of a message."""
-        kept = take_first_records(records, self.settings.reply_bytes)
+        kept = select_first_records(records, self.settings.reply_bytes)
         message = TableRecords(kept, wants_answer)
         fanout = self.settings.push_fanout if kept else 0
-        members = self.members.pick(fanout)
+        members = self.members.sample(fanout)
         return [SendToPeer(m.peer_address, message, urgent=True) for m in members]
--- a/src/wagtailstep/controllers/table_members.py
+++ b/src/wagtailstep/controllers/table_members.py
@@ -27,7 +27,7 @@
         """Return the number of other members that may answer."""
         return sum(self._may_answer(m) for m in self.blackboard.members.values())
 
-    def pick(self, count: int) -> list[Member]:
+    def sample(self, count: int) -> list[Member]:
         """Return some random members."""
         members = self.blackboard.members
         names = list(members)
--- a/src/wagtailstep/controllers/table_transfer.py
+++ b/src/wagtailstep/controllers/table_transfer.py
@@ -17,8 +17,8 @@
 from wagtailstep.utils.clock import Clock
 from wagtailstep.utils.ids import make_id
 
-KEEP_UNUSED = timedelta(seconds=30)
-KEEP_LONGEST = timedelta(minutes=5)
+MAX_SNAPSHOT_IDLE = timedelta(seconds=30)
+MAX_SNAPSHOT_AGE = timedelta(minutes=5)
 MAX_CHUNKS_PER_S = 8
 MAX_ATTEMPTS = 10
 
@@ -41,27 +41,27 @@
     window_start: timedelta = timedelta()
     sent_in_window: int = 0
 
-    def answer(
+    def handle_request(
         self, request: TableSnapshotRequest, fold: TableFold
     ) -> TableSnapshotChunk | None:
         """Return the chunk that was asked for, or ``None`` beyond the rate."""
         self.used_at = self.clock.monotonic()
-        if not self._take_turn():
+        if not self._try_acquire_send():
             return None
         if request.snapshot_id != self.snapshot_id or not self.data:
             self._encode(fold)
-            return self._make_chunk(0)
+            return self._build_chunk(0)
         count = self._count_chunks()
-        return self._make_chunk(min(request.index, count - 1))
+        return self._build_chunk(min(request.index, count - 1))
 
-    def drop_stale(self) -> None:
+    def discard_stale(self) -> None:
         """Free the encoded snapshot when it is old or nobody asked for a while."""
         now = self.clock.monotonic()
-        is_old = now - self.encoded_at > KEEP_LONGEST
-        if self.data and (is_old or now - self.used_at > KEEP_UNUSED):
+        is_old = now - self.encoded_at > MAX_SNAPSHOT_AGE
+        if self.data and (is_old or now - self.used_at > MAX_SNAPSHOT_IDLE):
             self.data = b""
 
-    def _take_turn(self) -> bool:
+    def _try_acquire_send(self) -> bool:
         now = self.clock.monotonic()
         if now - self.window_start >= timedelta(seconds=1):
             self.window_start = now
@@ -79,7 +79,7 @@
     def _count_chunks(self) -> int:
         return -(-len(self.data) // self.settings.chunk_bytes)
 
-    def _make_chunk(self, index: int) -> TableSnapshotChunk:
+    def _build_chunk(self, index: int) -> TableSnapshotChunk:
         size = self.settings.chunk_bytes
         data = self.data[index * size : (index + 1) * size]
         return TableSnapshotChunk(self.snapshot_id, index, self._count_chunks(), data)
@@ -95,47 +95,47 @@
     address: str = ""
     snapshot_id: str = ""
     chunks: list[bytes] = attrs.field(factory=list)
-    asked_at: timedelta = timedelta()
+    requested_at: timedelta = timedelta()
     attempts: int = 0
 
     @property
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         """Return whether a snapshot is being pulled."""
         return bool(self.source)
 
     def start(self, source: str, address: str) -> list[SendToPeer]:
         """Pull a snapshot from a daemon unless one is being pulled."""
-        if self.active:
+        if self.is_active:
             return []
         self.source = source
         self.address = address
         self.snapshot_id = ""
         self.chunks = []
         self.attempts = 0
-        return [self._ask()]
+        return [self._request_chunk()]
 
-    def stop(self) -> None:
+    def cancel(self) -> None:
         """Give up what was pulled so far."""
         self.source = ""
         self.chunks = []
 
-    def _ask(self) -> SendToPeer:
-        self.asked_at = self.clock.monotonic()
+    def _request_chunk(self) -> SendToPeer:
+        self.requested_at = self.clock.monotonic()
         request = TableSnapshotRequest(self.snapshot_id, len(self.chunks))
         return SendToPeer(self.address, request)
 
     def tick(self) -> list[SendToPeer]:
         """Ask again for a late chunk, and give up after some attempts."""
         timeout = timedelta(milliseconds=self.settings.chunk_timeout_ms)
-        if not self.active or self.clock.monotonic() - self.asked_at < timeout:
+        if not self.is_active or self.clock.monotonic() - self.requested_at < timeout:
             return []
         self.attempts += 1
         if self.attempts > MAX_ATTEMPTS:
-            self.stop()
+            self.cancel()
             return []
-        return [self._ask()]
+        return [self._request_chunk()]
 
-    def take(
+    def handle_chunk(
         self, sender: str, chunk: TableSnapshotChunk
     ) -> tuple[list[SendToPeer], TableFold | None]:
         """Take a chunk; the snapshot comes with the last one.
@@ -152,12 +152,12 @@
         self.chunks.append(chunk.data)
         self.attempts = 0
         if len(self.chunks) < chunk.count:
-            return [self._ask()], None
-        return [], self._finish()
+            return [self._request_chunk()], None
+        return [], self._decode()
 
-    def _finish(self) -> TableFold | None:
+    def _decode(self) -> TableFold | None:
         data = b"".join(self.chunks)
-        self.stop()
+        self.cancel()
         try:
             return decode_snapshot(data)
         except DecodeError:
--- a/src/wagtailstep/controllers/target_leases.py
+++ b/src/wagtailstep/controllers/target_leases.py
@@ -8,49 +8,49 @@
 from wagtailstep.models.fleet import Target
 from wagtailstep.models.membership import TargetsUpdate
 
-MAX_REMEMBERED_BEATS = 16_384
+MAX_REMEMBERED_HEARTBEATS = 16_384
 
 
 @attrs.define
-class Holding:
+class HeldTargets:
     """Targets beside one other daemon, and their common lease.
 
-    :param beat: newest heartbeat heard of the daemon.
+    :param heartbeat: newest heartbeat heard of the daemon.
     :param renewed_at: monotonic time at which that heartbeat was made, as far as
         the ages on its way tell.
-    :param version: version of its targets that the newest heartbeat names.
-    :param held_version: version of ``targets``; -1 before the first update.
-    :param held_beat: heartbeat at which ``targets`` were so.
-    :param services: services that ``held_version`` covers in ``targets``.
+    :param newest_version: version of its targets that the newest heartbeat names.
+    :param targets_version: version of ``targets``; -1 before the first update.
+    :param targets_heartbeat: heartbeat at which ``targets`` were so.
+    :param services: services that ``targets_version`` covers in ``targets``.
     :param targets: the targets.
     :param published: whether ``targets`` are on the blackboard.
     """
 
-    beat: int
+    heartbeat: int
     renewed_at: timedelta
-    version: int
-    held_version: int = -1
-    held_beat: int = -1
+    newest_version: int
+    targets_version: int = -1
+    targets_heartbeat: int = -1
     services: frozenset[str] = frozenset()
     targets: tuple[Target, ...] = ()
     published: bool = False
 
     def is_complete(self, needed: frozenset[str]) -> bool:
         """Tell whether the targets of some services are held as they are now."""
-        current = self.held_version == self.version
+        current = self.targets_version == self.newest_version
         return current and self.services.issuperset(needed)
 
 
-def is_lacking(
-    holding: Holding | None, needed: frozenset[str], oldest: timedelta
+def needs_pull(
+    held: HeldTargets | None, needed: frozenset[str], oldest: timedelta
 ) -> bool:
     """Tell whether targets have to be asked for.
 
     :param oldest: monotonic time before which a heartbeat is too old.
     """
-    if holding is None or holding.renewed_at <= oldest:
+    if held is None or held.renewed_at <= oldest:
         return True
-    return not holding.is_complete(needed)
+    return not held.is_complete(needed)
 
 
 class TargetLeases:
@@ -63,29 +63,29 @@
     def __init__(self, blackboard: Blackboard, lease: timedelta) -> None:
         self.blackboard = blackboard
         self.lease = lease
-        self.holdings: dict[str, Holding] = {}
-        self.last_beats: dict[str, int] = {}
+        self.held_targets: dict[str, HeldTargets] = {}
+        self.last_heartbeats: dict[str, int] = {}
 
     def renew(
-        self, daemon_id: str, beat: int, made_at: timedelta, version: int
+        self, daemon_id: str, heartbeat: int, made_at: timedelta, version: int
     ) -> bool:
         """Take a heartbeat.
 
         :param made_at: monotonic time at which it was made.
         :return: whether it is newer than all heard before.
         """
-        if beat <= self.last_beats.get(daemon_id, -1):
+        if heartbeat <= self.last_heartbeats.get(daemon_id, -1):
             return False
-        self._remember(daemon_id, beat)
-        holding = self.holdings.get(daemon_id)
-        if holding is None:
-            self.holdings[daemon_id] = Holding(beat, made_at, version)
+        self._record_heartbeat(daemon_id, heartbeat)
+        held = self.held_targets.get(daemon_id)
+        if held is None:
+            self.held_targets[daemon_id] = HeldTargets(heartbeat, made_at, version)
             return True
-        holding.beat = beat
-        holding.version = version
-        holding.renewed_at = max(holding.renewed_at, made_at)
-        if not holding.published and holding.held_version == version:
-            self._publish(holding)
+        held.heartbeat = heartbeat
+        held.newest_version = version
+        held.renewed_at = max(held.renewed_at, made_at)
+        if not held.published and held.targets_version == version:
+            self._publish(held)
         return True
 
     def store(self, update: TargetsUpdate, now: timedelta) -> bool:
@@ -100,29 +100,29 @@
         )
         made_at = now - timedelta(milliseconds=update.age_ms)
         self.renew(update.daemon_id, update.beat, made_at, update.version)
-        holding = self.holdings.get(update.daemon_id)
-        if holding is None or not self._adds(update, holding):
+        held = self.held_targets.get(update.daemon_id)
+        if held is None or not self._has_new_targets(update, held):
             return False
         # Targets of services that the update leaves out stay until they are pulled.
         covered = frozenset(update.services)
-        others = tuple(t for t in holding.targets if t.service not in covered)
-        if update.version == holding.held_version:
-            covered |= holding.services
-        self._withdraw(holding)
-        holding.targets = targets + others
-        holding.held_version = update.version
-        holding.held_beat = update.beat
-        holding.services = covered
-        if now - holding.renewed_at < self.lease:
-            self._publish(holding)
+        others = tuple(t for t in held.targets if t.service not in covered)
+        if update.version == held.targets_version:
+            covered |= held.services
+        self._withdraw(held)
+        held.targets = targets + others
+        held.targets_version = update.version
+        held.targets_heartbeat = update.beat
+        held.services = covered
+        if now - held.renewed_at < self.lease:
+            self._publish(held)
         return True
 
-    def _adds(self, update: TargetsUpdate, holding: Holding) -> bool:
-        if update.beat < holding.held_beat:
+    def _has_new_targets(self, update: TargetsUpdate, held: HeldTargets) -> bool:
+        if update.beat < held.targets_heartbeat:
             return False
-        if update.version != holding.held_version:
+        if update.version != held.targets_version:
             return True
-        return not holding.services.issuperset(update.services)
+        return not held.services.issuperset(update.services)
 
     def lapse(self, now: timedelta) -> list[str]:
         """Take targets whose lease is over off the blackboard.
@@ -130,34 +130,34 @@
         :return: the daemons that they are beside.
         """
         lapsed = []
-        for daemon_id, holding in self.holdings.items():
-            if holding.published and now - holding.renewed_at >= self.lease:
-                self._withdraw(holding)
-                if holding.targets:
+        for daemon_id, held in self.held_targets.items():
+            if held.published and now - held.renewed_at >= self.lease:
+                self._withdraw(held)
+                if held.targets:
                     lapsed.append(daemon_id)
         return lapsed
 
-    def drop(self, daemon_id: str) -> None:
+    def discard(self, daemon_id: str) -> None:
         """Forget the targets of a daemon, but not its last heartbeat."""
-        holding = self.holdings.pop(daemon_id, None)
-        if holding is not None:
-            self._withdraw(holding)
-
-    def _remember(self, daemon_id: str, beat: int) -> None:
-        if daemon_id not in self.last_beats:
-            while len(self.last_beats) >= MAX_REMEMBERED_BEATS:
-                del self.last_beats[next(iter(self.last_beats))]
-        self.last_beats[daemon_id] = beat
-
-    def _publish(self, holding: Holding) -> None:
-        for target in holding.targets:
+        held = self.held_targets.pop(daemon_id, None)
+        if held is not None:
+            self._withdraw(held)
+
+    def _record_heartbeat(self, daemon_id: str, heartbeat: int) -> None:
+        if daemon_id not in self.last_heartbeats:
+            while len(self.last_heartbeats) >= MAX_REMEMBERED_HEARTBEATS:
+                del self.last_heartbeats[next(iter(self.last_heartbeats))]
+        self.last_heartbeats[daemon_id] = heartbeat
+
+    def _publish(self, held: HeldTargets) -> None:
+        for target in held.targets:
             if target.target_id not in self.blackboard.local_targets:
                 self.blackboard.targets[target.target_id] = target
-        holding.published = True
+        held.published = True
 
-    def _withdraw(self, holding: Holding) -> None:
-        for target in holding.targets:
+    def _withdraw(self, held: HeldTargets) -> None:
+        for target in held.targets:
             known = self.blackboard.targets.get(target.target_id)
             if known is not None and known.daemon_id == target.daemon_id:
                 del self.blackboard.targets[target.target_id]
-        holding.published = False
+        held.published = False
--- a/src/wagtailstep/controllers/timeline.py
+++ b/src/wagtailstep/controllers/timeline.py
@@ -52,6 +52,6 @@
         self.lamport += 1
         return self.lamport
 
-    def witness_message(self, lamport: int) -> None:
+    def observe_message(self, lamport: int) -> None:
         """Move the logical clock past the time that a message carried."""
         self.lamport = max(self.lamport, lamport) + 1
--- a/src/wagtailstep/network/runtime.py
+++ b/src/wagtailstep/network/runtime.py
@@ -145,7 +145,7 @@
                 LOGGER, "message-unknown", logging.WARNING, sender=sender, error=error
             )
             return
-        self.timeline.witness_message(message.lamport)
+        self.timeline.observe_message(message.lamport)
         self.dispatch(PeerMessageReceived(sender, body))
 
     async def run_ticks(self) -> None:
