--- a/src/wagtailstep/controllers/__init__.py
+++ b/src/wagtailstep/controllers/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions. A controller does no I/O: events in, effects out."""
+"""Decision logic. A controller does no I/O: it maps events to effects."""
--- a/src/wagtailstep/controllers/announcements.py
+++ b/src/wagtailstep/controllers/announcements.py
@@ -1,4 +1,4 @@
-"""Backend servers beside this daemon: announced, renewed, leaving and gone."""
+"""Lifecycle of local targets: announced, renewed, leaving and removed."""
 
 import random
 from collections import OrderedDict
@@ -20,20 +20,20 @@
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.utils.clock import Clock
 
-# Processes of backend servers beside one daemon whose late announcements are told; one
-# instance sees a few a day.
+# Processes of local backend servers, past ones too, whose late announcements are
+# recognized. One instance sees a few a day.
 MAX_REGISTRATIONS = 64
-# An announcement is seconds late at the most. Beyond that a clock that was set back is
-# the likelier reason for a start that seems to lie before a withdrawal.
+# Announcements are delayed by seconds at most. If a process seems to have started
+# before a withdrawal that is older than this, its clock was probably set back.
 MAX_ANNOUNCEMENT_DELAY = timedelta(seconds=10)
 
 
 @attrs.define
 class LocalLease:
-    """What keeps a local target on the blackboard.
+    """The lease that keeps a local target on the blackboard.
 
     :param renewed_at: monotonic time of the last announcement.
-    :param leaving_since: monotonic time at which it began to leave, or ``None``.
+    :param leaving_since: monotonic time when the target began to leave, or ``None``.
     """
 
     renewed_at: timedelta
@@ -44,10 +44,10 @@
 class Registration:
     """The newest announcement of a backend server, kept after it has left.
 
-    :param born: when its process started.
+    :param born: when its process started, as in ``TargetAnnounced.born``.
     :param sequence: number of the announcement.
-    :param has_withdrawn: whether that process said that it leaves.
-    :param expires_at: monotonic time when it is forgotten; ``None`` for never.
+    :param has_withdrawn: whether that process announced that it is leaving.
+    :param expires_at: monotonic time when it is removed; ``None`` for never.
     """
 
     born: int = 0
@@ -56,9 +56,9 @@
     expires_at: timedelta | None = None
 
     def apply_announcement(self, born: int, sequence: int) -> bool:
-        """Take an announcement.
+        """Record an announcement.
 
-        :return: whether it is newer than all before it.
+        :return: whether it is newer than all previous ones.
         """
         if born and born < self.born:
             return False
@@ -73,10 +73,10 @@
 
 
 class AnnouncementController:
-    """Hold a lease, by the local clock, for each backend server beside this daemon.
+    """Keep a lease, timed by the local clock, for each local backend server.
 
     A target that leaves stays on the blackboard as leaving until the drain limit
-    of its service has passed, so that its gate can finish what is in flight.
+    of its service has passed, so that its gate can finish the requests in flight.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         lease = self.leases.get(target_id)
         is_leaving = lease is not None and lease.leaving_since is not None
         if is_leaving and self.blackboard.draining:
-            # It leaves since its daemon does, and may well go on renewing itself.
+            # It leaves because this daemon drains; the backend server may still renew.
             return []
         is_renewal = lease is not None and not is_leaving
         self.leases[target_id] = LocalLease(self.clock.monotonic())
@@ -125,7 +125,10 @@
         return self._store(self._with_daemon_attributes(target), known)
 
     def _register(self, event: TargetAnnounced) -> bool:
-        """Tell whether an announcement is neither late nor of a process that left."""
+        """Record an announcement, and remove a server whose address it takes over.
+
+        :return: whether it is neither late nor from a process that has withdrawn.
+        """
         target = event.target
         if event.born and event.born < self._latest_start_at(target.address):
             return False
@@ -141,7 +144,7 @@
         return True
 
     def _latest_start_at(self, address: str) -> int:
-        """Return when the newest process known at an address started."""
+        """Return the latest start time of a known process at an address."""
         board = self.blackboard
         return max(
             (
@@ -153,11 +156,13 @@
         )
 
     def _remove_replaced(self, target: Target) -> None:
-        """Drop an older backend server whose address another one has now."""
+        """Remove an older backend server whose address has been taken over."""
         board = self.blackboard
         for name in list(board.local_targets):
-            same = target.address and board.targets[name].address == target.address
-            if same and name != target.target_id:
+            same_address = (
+                target.address and board.targets[name].address == target.address
+            )
+            if same_address and name != target.target_id:
                 self._remove_target(name)
 
     @handle.register
@@ -172,8 +177,8 @@
             if name.partition("/")[2] == event.instance_id
         ]
         if not names:
-            # It was announced to an earlier process of this daemon. Announcements that
-            # it made before are late ones from now on.
+            # It was announced to an earlier process of this daemon. Reject its earlier
+            # announcements if they still arrive.
             name = f"{event.service}/{event.instance_id}"
             expires_at = self.clock.monotonic() + MAX_ANNOUNCEMENT_DELAY
             self.registrations[name] = Registration(
@@ -210,8 +215,8 @@
         if lease.leaving_since is not None:
             service = self.blackboard.targets[target_id].service
             limit = self.blackboard.table.service_row(service).drain_limit
-            over = now - lease.leaving_since >= limit
-            return self._remove_target(target_id) if over else []
+            is_drained = now - lease.leaving_since >= limit
+            return self._remove_target(target_id) if is_drained else []
         if self.blackboard.draining:
             return self._start_leaving(target_id, "daemon-draining")
         limit = timedelta(milliseconds=self.settings.announce_lease_ms)
@@ -264,5 +269,5 @@
 
 
 def _merge_standing(known: TargetStanding, announced: TargetStanding) -> TargetStanding:
-    """Return a gate's judgement of a target, or else what the target says."""
+    """Return the standing set by the gate, if any, else the announced one."""
     return known if known >= TargetStanding.DOUBTED else announced
--- a/src/wagtailstep/controllers/digests.py
+++ b/src/wagtailstep/controllers/digests.py
@@ -1,4 +1,4 @@
-"""Which heartbeats go to which daemon in the next round of digests."""
+"""Select the heartbeats that each peer gets in the next round of digests."""
 
 import random
 
@@ -7,7 +7,7 @@
 
 
 class DigestQueue:
-    """Heartbeats that this daemon still has to pass on, by service.
+    """Heartbeats that this daemon still has to propagate, by service.
 
     :param settings: membership settings.
     :param interest: index of the peers of each service.
@@ -32,9 +32,9 @@
             names[daemon_id] = self.settings.digest_sends
 
     def pop_round(self) -> dict[str, list[str]]:
-        """Return what goes to whom in this round.
+        """Choose receivers for this round and count down the remaining sends.
 
-        :return: names of the daemons whose heartbeats are sent, by receiver.
+        :return: the daemons whose heartbeats are sent, by receiver.
         """
         plan: dict[str, set[str]] = {}
         chosen: set[str] = set()
@@ -50,12 +50,12 @@
         return {peer: sorted(names - {peer}) for peer, names in plan.items()}
 
     def _count_sends(self, service: str, sent: int) -> None:
-        left = {
+        remaining = {
             name: count - sent
             for name, count in self.pending_sends[service].items()
             if count > sent
         }
-        if left and sent:
-            self.pending_sends[service] = left
+        if remaining and sent:
+            self.pending_sends[service] = remaining
         else:
             del self.pending_sends[service]
--- a/src/wagtailstep/controllers/dissemination.py
+++ b/src/wagtailstep/controllers/dissemination.py
@@ -1,4 +1,4 @@
-"""Targets of other daemons: heard of, renewed, pulled and lapsed."""
+"""Exchange of targets and heartbeats between daemons, by push and pull."""
 
 import random
 from datetime import timedelta
@@ -33,7 +33,7 @@
 
 DIGEST_ROUNDS_PER_RENEWAL = 3
 LOCAL_UPDATE_FANOUT = 8
-# Up to as many peers are told of a change directly, which is one message for each.
+# Changes are sent directly, one message for each peer, to fewer peers than this.
 DIRECT_FANOUT = 32
 FORWARD_FANOUT = 4
 PULLS_PER_TICK = 10
@@ -43,12 +43,12 @@
 
 
 class DisseminationController:
-    """Tell daemons that serve or want a service of its targets, and nobody else.
+    """Send a service's targets to the daemons that serve or request it only.
 
-    A daemon makes a heartbeat every ``renew_ms``. Heartbeats travel as rows of
-    digests, a few times from each daemon that hears them, and carry their age, so
-    that a lease ends at the same time everywhere. Targets themselves travel when
-    they change, and when a heartbeat names a version that is not held.
+    A daemon makes a heartbeat every ``renew_ms``. Heartbeats are sent as rows of
+    digests, relayed a few times by each receiver, and carry their age, so that a
+    lease ends at the same time everywhere. Targets themselves are sent when they
+    change, and pulled when a heartbeat carries a version that is not held.
     """
 
     def __init__(
@@ -72,12 +72,12 @@
         self.heartbeat_at = timedelta()
         self.version = 0
         self.advertised_targets: tuple[Target, ...] = ()
-        # Daemons that start together don't renew in step.
+        # Random phase, so that daemons that start together don't renew in step.
         first_ms = self.settings.renew_ms * rng.random()
         self.renew_at = self.started_at + timedelta(milliseconds=first_ms)
         self.next_digest_at = timedelta()
         self.pulls = PullSchedule()
-        # Looking up a single-dispatch method costs more than calling it.
+        # Cached, as looking up a single-dispatch method costs more than a call.
         self.receive = self._receive
 
     @singledispatchmethod
@@ -111,22 +111,22 @@
         effects: list[Any] = []
         rows = message.rows
         for index in range(0, len(rows) - 3, 4):
-            reference, beat, age, version = rows[index : index + 4]
-            beat += message.base
+            reference, heartbeat, age, version = rows[index : index + 4]
+            heartbeat += message.base
             if not 0 <= age * AGE_UNIT_MS <= self.settings.lease_ms:
                 continue
             made_at = now - timedelta(milliseconds=age * AGE_UNIT_MS)
             if reference == self.local_reference:
-                self._advance_heartbeat(beat)
+                self._advance_heartbeat(heartbeat)
                 continue
             daemon_id = self.interest.daemon_ids.get(reference)
             if daemon_id is None:
                 continue
-            if self.leases.renew(daemon_id, beat, made_at, version):
+            if self.leases.renew(daemon_id, heartbeat, made_at, version):
                 self.pulls.discard(daemon_id)
                 self.digests.add(daemon_id, self.interest.needed_by_member[daemon_id])
             elif daemon_id == sender:
-                effects += self._correct_stale_heartbeat(sender, beat)
+                effects += self._correct_stale_heartbeat(sender, heartbeat)
         return effects
 
     @_receive.register
@@ -199,7 +199,7 @@
         self.heartbeat_at = now
 
     def _advance_heartbeat(self, heartbeat: int) -> None:
-        # An earlier run of this daemon got further, since the wall clock was ahead.
+        # An earlier process of this daemon used later numbers: its clock was ahead.
         self.heartbeat = max(self.heartbeat, heartbeat)
 
     def _correct_stale_heartbeat(self, sender: str, heartbeat: int) -> list[Any]:
@@ -207,6 +207,7 @@
         last = self.leases.last_heartbeats[sender]
         if member is None or last - heartbeat < STALE_HEARTBEAT_LAG:
             return []
+        # Lets a daemon whose clock was ahead earlier continue above its old numbers.
         row = (member_reference(sender), last - self.heartbeat, 0, 0)
         return [SendToPeer(member.peer_address, Digest(self.heartbeat, row))]
 
@@ -229,8 +230,8 @@
         self.version = self.heartbeat & VERSION_MASK
         self.digests.add(board.this_member.daemon_id, services)
         interested = self.interest.choose_interested(services, DIRECT_FANOUT, self.rng)
-        # Few peers are told directly. Passing the news on costs several copies for
-        # each of them, which only a larger number makes up for.
+        # Forwarding delivers several copies to each peer, which only pays off for a
+        # larger number of peers; otherwise each one gets the update directly.
         needs_forwarding = len(interested) == DIRECT_FANOUT
         peers = interested[:LOCAL_UPDATE_FANOUT] if needs_forwarding else interested
         effects = []
@@ -323,8 +324,8 @@
             if held is None or now - held.renewed_at >= self.lease:
                 continue
             age = _age_units(now - held.renewed_at)
-            beat = held.heartbeat - self.heartbeat
-            rows += (member_reference(name), beat, age, held.newest_version)
+            heartbeat = held.heartbeat - self.heartbeat
+            rows += (member_reference(name), heartbeat, age, held.newest_version)
         return rows
 
     def _pull(self, now: timedelta) -> list[Any]:
--- a/src/wagtailstep/controllers/interest.py
+++ b/src/wagtailstep/controllers/interest.py
@@ -1,4 +1,4 @@
-"""Which daemons have to do with the services that this daemon serves or wants."""
+"""Which daemons serve or request the services of interest to this daemon."""
 
 import random
 from datetime import timedelta
@@ -7,21 +7,23 @@
 from wagtailstep.models.fleet import Member, MemberState
 from wagtailstep.models.membership import member_reference
 
-# A small fleet learns of a member's services at the next tick. A rebuild takes about
-# 1 us for each member, so a two-thousandth of a core up to 500 members.
+# The short minimum lets a small fleet see a member's services at the next tick. A
+# rebuild takes about 1 us per member, so 1/2000 of a core up to 500 members.
 MIN_REBUILD_MS = 100
 MAX_REBUILD_MS = 1_000
 REBUILD_MS_PER_MEMBER = 2.0
 
 
 class InterestIndex:
-    """Index of the member table by the services of interest to this daemon.
+    """Index of the member table by service, for the services of interest.
 
-    :param blackboard: where members and wanted services are read.
+    These are the services that this daemon serves itself or that its callers request.
 
-    Attributes: ``services`` of interest; ``needed`` services by the ``daemon_id``
-    that serves them; ``peers_by_service`` that serve or want a service, by service;
-    ``daemon_ids`` of members that stand for them in digests.
+    :param blackboard: source of the members and of the services of interest.
+
+    Attributes: ``services`` of interest; ``needed_by_member``, the services of
+    interest that each daemon serves; ``peers_by_service``, the daemons not known to
+    be dead that serve or request a service; ``daemon_ids`` by reference in digests.
     """
 
     def __init__(self, blackboard: Blackboard) -> None:
@@ -33,7 +35,7 @@
         self.rebuild_at = timedelta()
 
     def refresh(self, now: timedelta) -> bool:
-        """Rebuild the index if the interest changed or the index is old.
+        """Rebuild the index if the services of interest changed or it is outdated.
 
         :return: whether it was rebuilt.
         """
@@ -68,9 +70,9 @@
     def choose_peers(
         self, service: str, count: int, chosen: set[str], rng: random.Random
     ) -> list[str]:
-        """Choose peers of a service, those already chosen for others first.
+        """Choose peers of a service, preferring those chosen for other services.
 
-        :param chosen: peers that a message goes to anyway.
+        :param chosen: peers that get a message in any case.
         """
         names = self.peers_by_service.get(service, [])
         if len(names) <= count:
@@ -86,7 +88,7 @@
     def choose_interested(
         self, services: frozenset[str], count: int, rng: random.Random
     ) -> list[Member]:
-        """Choose peers that serve or want one of some services."""
+        """Choose random peers that serve or request at least one of some services."""
         names = {
             name
             for service in services
--- a/src/wagtailstep/controllers/member_contacts.py
+++ b/src/wagtailstep/controllers/member_contacts.py
@@ -1,4 +1,4 @@
-"""Addresses to try when other daemons are not known or were lost."""
+"""Daemons to request the member table from, to join or rejoin the fleet."""
 
 import random
 from datetime import timedelta
@@ -39,20 +39,22 @@
 FIRST_APPEND_MS = 1_000
 APPEND_JITTER_MS = 4_000
 APPEND_RETRY_MS = 15_000
-# A list that names no daemon that answers is out of date; each list is a call.
 REGISTER_RETRY_MS = 2_000
+# The list is read again while no listed daemon answers, as it is then out of date.
+# Each read is a call to the registry, hence the back-off.
 LIST_RETRY_MS = 2_000
 MAX_LIST_RETRY_MS = 30_000
 
 
 @attrs.define
 class MemberContacts:
-    """Ask seeds, daemons named in the log and dead daemons for the member table.
+    """Request the member table from seeds, recorded contacts and dead daemons.
 
-    A dead daemon is asked since the cut that hid it may have ended.
+    Recorded contacts are daemons found in the log or the registry. Dead daemons are
+    included since a network partition that made them unreachable may have ended.
 
     :param settings: membership settings.
-    :param this: this daemon when it started.
+    :param this: this daemon's member entry at its start.
     :param rng: source of random choices.
     """
 
@@ -77,14 +79,14 @@
 
     @property
     def uses_registry(self) -> bool:
-        """Tell whether contacts come from a registry."""
+        """Return whether contacts come from a registry instead of the log."""
         return self.settings.member_source == "registry"
 
     def handle_member_list(self, addresses: dict[str, str], this: Member) -> list[Any]:
-        """Introduce this daemon to daemons that the registry names.
+        """Introduce this daemon to daemons that the registry lists.
 
-        Each daemon writes its record before it lists the others, so of any two one
-        finds the other.
+        Each daemon writes its record before it lists the others, so of any two at
+        least one finds the other.
         """
         others = [name for name in sorted(addresses) if name != this.daemon_id]
         chosen = self.rng.sample(others, min(len(others), MAX_CONTACTS))
@@ -93,7 +95,7 @@
         return self._request(this, [addresses[name] for name in chosen], "")
 
     def complete_registration(self, succeeded: bool, now: timedelta) -> None:
-        """Take the end of writing this daemon's record; the list is read next."""
+        """Handle the outcome of registering this daemon; the list is read next."""
         self.list_at = now
         if not succeeded:
             delay = REGISTER_RETRY_MS * (0.5 + self.rng.random())
@@ -116,7 +118,7 @@
         return effects
 
     def add_records(self, records: tuple[LogRecord, ...]) -> None:
-        """Take the addresses of daemons that wrote to the log, newest last."""
+        """Add the addresses of daemons that wrote to the log, newest last."""
         for record in records:
             try:
                 message = decode_message(record.data)
@@ -137,7 +139,7 @@
             del self.recorded_contacts[next(iter(self.recorded_contacts))]
 
     def rejoin_now(self) -> None:
-        """Ask for the member table at the next tick."""
+        """Request the member table at the next tick."""
         self.rejoin_at = timedelta()
         self.sync_at = timedelta()
         self.sync_interval_ms = INITIAL_SYNC_INTERVAL_MS
@@ -145,9 +147,9 @@
     def handle_page(
         self, address: str, page: MembersPage, now: timedelta, table: MemberTable
     ) -> None:
-        """Note where the next page of the member table starts, and who has it.
+        """Schedule the request for the next page of the member table.
 
-        :param address: ``host:port`` that sent the page.
+        :param address: ``host:port`` that the page came from.
         """
         expected = self.page_after if self.reading_pages else ""
         if page.start == expected:
@@ -157,12 +159,12 @@
     def start_catch_up(
         self, address: str, known: int, now: timedelta, table: MemberTable
     ) -> None:
-        """Read the member table of a daemon that knows more than this one.
+        """Read the member table of a daemon that knows more members than this one.
 
-        It is read at once if many are missing; for a few, which news on its way may
-        bring, only from time to time.
+        It is read at once if many are missing. A few missing ones may still arrive
+        with regular updates, so for these it is read at most once per interval.
 
-        :param known: number of living daemons that it knows.
+        :param known: number of living daemons that the other daemon knows.
         """
         live = table.count_live()
         many = known - live > live * TOLERATED_MISSING_RATIO
@@ -180,7 +182,7 @@
         self.next_page_at = now + timedelta(milliseconds=PAGE_INTERVAL_MS)
 
     def complete_append(self, event: LogAppendSettled, now: timedelta) -> None:
-        """Take the end of an append to the stream of members."""
+        """Handle the outcome of an append to the stream of members."""
         if event.append_id != self.append_id:
             return
         self.append_id = ""
@@ -190,7 +192,7 @@
             self.append_at = now + timedelta(milliseconds=delay)
 
     def tick(self, now: timedelta, table: MemberTable, this: Member) -> list[Any]:
-        """Return requests for the member table and appends that are due."""
+        """Return the requests and appends, or registry calls, that are due."""
         source = self._poll_registry if self.uses_registry else self._append
         return [
             *self._request_from_contacts(now, table, this),
@@ -209,7 +211,7 @@
             member.state is MemberState.ALIVE and name != this.daemon_id
             for name, member in table.members.items()
         )
-        # While no other daemon is known any one of several contacts may be gone.
+        # While no other daemon is known, try several, as some may no longer exist.
         addresses = self._sample(
             self._contacts_not_alive(table, this), 4 if is_alone else 1
         )
@@ -221,8 +223,8 @@
         return effects
 
     def _request_random_page(self, table: MemberTable, this: Member) -> list[Any]:
-        # One page from a random place finds news that was lost on its way. It is
-        # not followed by the next one, so it must not start as a first page does.
+        # A page from a random position recovers updates that were lost in transit.
+        # It must not be taken for a first page, which is followed by the next one.
         after = self.rng.choice([BEFORE_ALL_NAMES, *sorted(table.members)[:-1]])
         addresses = self._sample(self._alive_addresses(table, this), 1)
         return self._request(this, addresses, after)
@@ -254,7 +256,7 @@
             return []
         self.next_page_at = now + timedelta(milliseconds=PAGE_TIMEOUT_MS)
         address = self.page_source
-        # If no answer comes in time another daemon is asked next.
+        # If no answer arrives in time, another daemon gets the request next.
         self.page_source = "".join(self._sample(self._alive_addresses(table, this), 1))
         return self._request(this, [address], self.page_after)
 
--- a/src/wagtailstep/controllers/member_table.py
+++ b/src/wagtailstep/controllers/member_table.py
@@ -1,4 +1,4 @@
-"""The member table: which news of a member replaces what is known of it."""
+"""The member table, and the rules by which updates supersede known states."""
 
 from datetime import timedelta
 
@@ -20,24 +20,24 @@
 def is_newer(
     incarnation: int, state: MemberState, known_incarnation: int, known: MemberState
 ) -> bool:
-    """Tell whether news replaces what is known.
+    """Return whether an update supersedes the known state of a member.
 
-    A higher incarnation always does; within one incarnation the worse state does,
-    so that all daemons come to the same result in whatever order news arrives.
+    A higher incarnation always does. Within one incarnation the worse state does,
+    so that all daemons converge in whatever order updates arrive.
     """
-    news = (incarnation, _STATE_RANK[state])
-    return news > (known_incarnation, _STATE_RANK[known])
+    update = (incarnation, _STATE_RANK[state])
+    return update > (known_incarnation, _STATE_RANK[known])
 
 
 @attrs.define
 class MemberTable:
-    """All known members, and what is kept of forgotten ones.
+    """All known members, and tombstones of removed ones.
 
     :param members: members by ``daemon_id``, dead ones too; shared with the
         blackboard.
-    :param tombstones: last incarnation of forgotten members, oldest first, so that
-        stale news doesn't bring them back.
-    :param died_at: monotonic time at which each dead member was found dead.
+    :param tombstones: last incarnation of removed members, oldest first, so that
+        stale updates don't add them again.
+    :param died_at: monotonic time at which each dead member was marked dead.
     :param suspected_at: monotonic time at which each suspicion began.
     """
 
@@ -47,14 +47,14 @@
     suspected_at: dict[str, timedelta] = attrs.field(factory=dict)
 
     def accepts(self, daemon_id: str, incarnation: int, state: MemberState) -> bool:
-        """Tell whether news of a member is newer than what is known of it."""
+        """Return whether an update of a member supersedes what is known of it."""
         known = self.members.get(daemon_id)
         if known is not None:
             return is_newer(incarnation, state, known.incarnation, known.state)
         return incarnation > self.tombstones.get(daemon_id, -1)
 
     def put(self, member: Member, now: timedelta) -> None:
-        """Store a member and when its state began."""
+        """Store a member and the time at which its state began."""
         daemon_id = member.daemon_id
         self.members[daemon_id] = member
         self.tombstones.pop(daemon_id, None)
@@ -66,25 +66,25 @@
             self.died_at[daemon_id] = now
 
     def get_suspicion(self, daemon_id: str) -> MemberChange | None:
-        """Return what a daemon must hear to refute that it is suspect or dead."""
+        """Return the suspect or dead state that a daemon has to refute, if any."""
         member = self.members.get(daemon_id)
         if member is not None:
-            doubted = member.state in (MemberState.SUSPECT, MemberState.DEAD)
-            return MemberChange.from_member(member) if doubted else None
+            is_suspected = member.state in (MemberState.SUSPECT, MemberState.DEAD)
+            return MemberChange.from_member(member) if is_suspected else None
         incarnation = self.tombstones.get(daemon_id)
         if incarnation is None:
             return None
         return MemberChange.from_state(daemon_id, incarnation, MemberState.DEAD)
 
     def add_tombstone(self, daemon_id: str, incarnation: int) -> None:
-        """Remember that an unknown member is dead, and nothing else of it."""
+        """Keep only the incarnation of a dead member that is not in the table."""
         last = max(incarnation, self.tombstones.pop(daemon_id, -1))
         self.tombstones[daemon_id] = last
         while len(self.tombstones) > MAX_TOMBSTONES:
             del self.tombstones[next(iter(self.tombstones))]
 
     def expire_dead(self, now: timedelta, retention: timedelta) -> None:
-        """Forget members that have been dead for longer than the retention."""
+        """Replace members that were dead for the retention period by tombstones."""
         expired = [name for name, at in self.died_at.items() if now - at >= retention]
         for daemon_id in expired:
             del self.died_at[daemon_id]
@@ -92,12 +92,12 @@
             self.add_tombstone(daemon_id, member.incarnation)
 
     def expired_suspects(self, now: timedelta, timeout: timedelta) -> list[str]:
-        """Return the members whose time to refute a suspicion is over."""
+        """Return the suspect members that did not refute the suspicion in time."""
         started = self.suspected_at.items()
         return [name for name, at in started if now - at >= timeout]
 
     def restart_suspicions(self, now: timedelta) -> None:
-        """Give all suspects their whole time again, after this daemon had paused."""
+        """Restart the timeout of all suspicions, after this daemon was paused."""
         self.suspected_at.update(dict.fromkeys(self.suspected_at, now))
 
     def count_live(self) -> int:
--- a/src/wagtailstep/controllers/member_updates.py
+++ b/src/wagtailstep/controllers/member_updates.py
@@ -1,4 +1,4 @@
-"""Which news of members goes onto the next message."""
+"""Member updates that are piggybacked on other messages."""
 
 import math
 
@@ -14,11 +14,11 @@
 
 @attrs.define
 class PendingUpdate:
-    """News of one member that has to be sent some more times.
+    """An update of one member that still has to be sent a number of times.
 
-    :param sends_left: messages that it still goes onto.
-    :param urgent: whether it goes before routine news.
-    :param full_entry: whether the receiver needs the whole entry.
+    :param sends_left: number of messages that it still has to be added to.
+    :param urgent: whether it is sent before routine updates.
+    :param full_entry: whether to send the full entry instead of the state only.
     """
 
     sends_left: int
@@ -28,16 +28,16 @@
 
 @attrs.define
 class UpdateQueue:
-    """News waiting to be sent, at most one piece for each member.
+    """Updates waiting to be sent, at most one for each member.
 
-    :param members: the member table, where the content is read when it is sent.
+    :param members: the member table, read at the time of sending.
     """
 
     members: dict[str, Member]
     pending: dict[str, PendingUpdate] = attrs.field(factory=dict)
 
     def add(self, member: Member, full_entry: bool) -> None:
-        """Queue the newest news of a member; it replaces what was queued of it."""
+        """Queue an update of a member, replacing one that is already queued."""
         sends = RETRANSMIT_FACTOR * math.ceil(math.log10(len(self.members) + 1))
         urgent = member.state is not MemberState.ALIVE
         queued = self.pending.pop(member.daemon_id, None)
@@ -47,13 +47,13 @@
         )
 
     def clear(self) -> None:
-        """Forget all news that is waiting."""
+        """Discard all queued updates."""
         self.pending.clear()
 
     def pop_updates(self, exclude: str = "") -> Updates:
-        """Return the news for one message: urgent first, then the least sent.
+        """Return updates for one message: urgent ones first, then the least sent.
 
-        :param exclude: member that the message goes to; it knows its own news.
+        :param exclude: receiver of the message, which needs no update about itself.
         """
         if not self.pending:
             return Updates()
@@ -94,7 +94,7 @@
 
 
 def estimate_bytes(member: Member, full_entry: bool) -> int:
-    """Return about how many bytes the news of a member takes in a message."""
+    """Return the approximate size of a member's update in a message."""
     size = len(member.daemon_id) + CHANGE_OVERHEAD_BYTES
     if not full_entry:
         return size
--- a/src/wagtailstep/controllers/membership.py
+++ b/src/wagtailstep/controllers/membership.py
@@ -1,4 +1,4 @@
-"""Which daemons exist and which of them are alive."""
+"""Membership of the fleet: which daemons exist and which are alive."""
 
 import random
 from datetime import timedelta
@@ -47,14 +47,14 @@
 
 
 class MembershipController:
-    """Find other daemons, watch them, and tell others what was seen.
-
-    Each daemon pings one other a second, and through others if it gets no answer.
-    A daemon that answers nobody is suspect, and dead if it does not refute the
-    suspicion in time. News travels on these messages. The incarnation of a daemon
-    starts at the wall-clock time of its start in milliseconds and rises by one
-    with each refutation and each change of its services; a daemon that hears of
-    a higher incarnation of itself goes on above it.
+    """Discover other daemons, detect failures and propagate membership changes.
+
+    Each daemon pings one other per second, through helpers too if it gets no answer.
+    A daemon that nobody reaches is suspect, and dead if it does not refute the
+    suspicion in time. Updates are piggybacked on these messages. The incarnation of a
+    daemon starts at the wall-clock time of its start in milliseconds and rises by one
+    with each refutation and each change of its services; a daemon that receives a
+    higher incarnation of itself continues above that one.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         self.last_message_at = timedelta()
         self.prune_at = timedelta()
         self.next_services_update_at = timedelta()
-        # Looking up a single-dispatch method costs more than calling it.
+        # Cached, as looking up a single-dispatch method costs more than a call.
         self.receive = self._receive
 
     @singledispatchmethod
@@ -93,7 +93,7 @@
     @handle.register
     def _(self, event: Tick) -> list[Any]:
         now = self.clock.monotonic()
-        effects = self._check_tick_gap(now)
+        effects = self._handle_start_or_pause(now)
         effects += self._update_this_member(now)
         effects += self._handle_failed_probe(now)
         effects += self._mark_expired_suspects_dead(now)
@@ -182,7 +182,7 @@
 
     @_receive.register
     def _(self, message: MembersPage, sender: str) -> list[Any]:
-        # Each daemon reads the pages for itself, so they are not passed on.
+        # Each daemon reads the pages itself, so their entries are not propagated.
         effects = self._merge(Updates(entries=message.entries), propagate=False)
         source = self.blackboard.members.get(sender)
         if source is not None:
@@ -197,7 +197,7 @@
         page = names[:MAX_PAGE_ENTRIES]
         entries = [MemberEntry.from_member(members[name]) for name in page]
         if after == "" and requester not in page and requester in members:
-            # The requester learns a higher incarnation of itself, if there is one.
+            # Lets the requester see whether a higher incarnation of itself is known.
             entries.append(MemberEntry.from_member(members[requester]))
         last = page[-1] if len(names) > MAX_PAGE_ENTRIES else ""
         return MembersPage(after, tuple(entries), last, self.table.count_live())
@@ -254,7 +254,8 @@
                 self.table.add_tombstone(change.daemon_id, change.incarnation)
             return []
         if state is MemberState.DEAD and self._received_recently(change.daemon_id):
-            # Whoever found it dead may have lost the path to it; ask it to refute.
+            # The daemon that reported it dead may have lost the path to it; as a
+            # suspect it can still refute.
             state = MemberState.SUSPECT
         incarnation = change.incarnation
         return self._put(attrs.evolve(known, incarnation=incarnation, state=state))
@@ -305,7 +306,7 @@
             effects.append(SendToPeer(address, self._build_ping(name), urgent=True))
         return effects
 
-    def _check_tick_gap(self, now: timedelta) -> list[Any]:
+    def _handle_start_or_pause(self, now: timedelta) -> list[Any]:
         last, self.last_tick = self.last_tick, now
         if last is None:
             self._put(self.blackboard.this_member, full_entry=True)
@@ -313,7 +314,7 @@
                 return []
             return [FollowStream(MEMBERS_STREAM, MEMBERS_POLL_MS)]
         if now - last > timedelta(milliseconds=MAX_TICK_GAP_MS):
-            # What was known before a long pause is no news to anybody any more.
+            # After a long pause queued updates and probe results are outdated.
             self.updates.clear()
             self.prober.probe = None
             self.table.restart_suspicions(now)
@@ -325,7 +326,7 @@
         this = board.this_member
         state = MemberState.LEAVING if board.draining else MemberState.ALIVE
         local = board.local_services
-        # Others take a new target for requests only once they know what is served.
+        # Peers route requests to a new target only once they know what is served.
         is_urgent = state is not this.state or not local.issubset(this.serves)
         if not is_urgent and now < self.next_services_update_at:
             return []
@@ -342,7 +343,7 @@
     def _handle_failed_probe(self, now: timedelta) -> list[Any]:
         probe = self.prober.pop_timed_out_probe(now)
         if probe is None or self.last_message_at < probe.started_at:
-            # A daemon that hears nobody is probably cut off itself.
+            # A daemon that receives no messages is probably partitioned itself.
             return []
         member = self.blackboard.members.get(probe.daemon_id)
         if member is None or self._received_recently(probe.daemon_id):
@@ -358,7 +359,7 @@
         effects: list[Any] = []
         for daemon_id in self.table.expired_suspects(now, timeout):
             if self._received_recently(daemon_id):
-                # It lives; its refutation is still on its way.
+                # It is alive; its refutation has not arrived yet.
                 self.table.suspected_at[daemon_id] = now
                 continue
             member = self.blackboard.members[daemon_id]
--- a/src/wagtailstep/controllers/probing.py
+++ b/src/wagtailstep/controllers/probing.py
@@ -1,4 +1,4 @@
-"""Pings to other daemons: one at a time, directly and then through others."""
+"""Probing of other daemons, one at a time: directly, then through helpers."""
 
 import random
 from datetime import timedelta
@@ -20,7 +20,7 @@
     :param sequence: number of the ping.
     :param daemon_id: the daemon that is pinged.
     :param started_at: monotonic time of the first ping.
-    :param indirect: whether others were asked to ping it.
+    :param indirect: whether helpers were asked to ping it.
     """
 
     sequence: int
@@ -31,11 +31,11 @@
 
 @attrs.frozen
 class Relay:
-    """A ping sent for another daemon.
+    """A ping sent on behalf of another daemon.
 
     :param sequence: number of the ping request.
-    :param reply_to: ``host:port`` of the daemon that asked.
-    :param expires_at: monotonic time after which an answer is of no use.
+    :param reply_to: ``host:port`` of the daemon that requested the ping.
+    :param expires_at: monotonic time after which the relay may be discarded.
     """
 
     sequence: int
@@ -45,14 +45,14 @@
 
 @attrs.define
 class Prober:
-    """Choose whom to ping, in shuffled rounds, and match the answers.
+    """Choose members to ping, in shuffled rounds, and match the answers.
 
     :param settings: membership settings.
     :param members: the member table.
     :param self_id: ``daemon_id`` of this daemon.
     :param address: ``host:port`` of this daemon's control channel.
     :param rng: source of random choices.
-    :param unresponsive: daemons that did not answer lately, to be tried again.
+    :param unresponsive: daemons that did not answer lately, to be probed again.
     """
 
     settings: MembershipSettings
@@ -75,7 +75,7 @@
         """
         interval = timedelta(milliseconds=self.settings.probe_interval_ms)
         if self.next_probe_at is None:
-            # Daemons that start together don't ping in step.
+            # Random phase, so that daemons that start together don't ping in step.
             self.next_probe_at = now + interval * self.rng.random()
         if self.probe is not None or now < self.next_probe_at:
             return None
@@ -92,7 +92,7 @@
         return SendToPeer(member.peer_address, ping)
 
     def request_indirect_probes(self, now: timedelta) -> list[SendToPeer]:
-        """Ask other daemons to ping a daemon that doesn't answer, once."""
+        """Ask helpers, once per probe, to ping a daemon that doesn't answer."""
         probe = self.probe
         wait = timedelta(milliseconds=self.settings.probe_timeout_ms)
         if probe is None or probe.indirect or now - probe.started_at < wait:
@@ -106,7 +106,7 @@
         return [SendToPeer(helper.peer_address, request) for helper in helpers]
 
     def pop_timed_out_probe(self, now: timedelta) -> Probe | None:
-        """Return the probe whose time is over, and forget it."""
+        """Remove and return the probe if it has timed out."""
         probe = self.probe
         limit = timedelta(milliseconds=self.settings.probe_interval_ms)
         if probe is None or now - probe.started_at < limit:
@@ -116,9 +116,9 @@
         return probe
 
     def complete_probe(self, sequence: int) -> str | None:
-        """End the probe that an answer belongs to, if there is one.
+        """Complete the probe that an answer belongs to, if there is one.
 
-        :return: the daemon that was reached, directly or through another one.
+        :return: the daemon that was reached, directly or through a helper.
         """
         probe = self.probe
         if probe is None or probe.sequence != sequence:
@@ -127,7 +127,7 @@
         return probe.daemon_id
 
     def forward_ack(self, sequence: int, updates: Updates) -> SendToPeer:
-        """Pass an answer on to the daemon that asked for the ping.
+        """Forward an answer to the daemon that requested the ping.
 
         :raises KeyError: if ``sequence`` is not in ``relays``.
         """
@@ -137,7 +137,7 @@
     def relay_ping(
         self, request: PingRequest, updates: Updates, now: timedelta
     ) -> SendToPeer:
-        """Ping a daemon for another one."""
+        """Ping a daemon on behalf of another one."""
         self._expire_relays(now)
         self.sequence += 1
         expires_at = now + timedelta(milliseconds=RELAY_TIMEOUT_MS)
@@ -147,14 +147,14 @@
         return SendToPeer(request.target_address, ping)
 
     def _expire_relays(self, now: timedelta) -> None:
-        over = [key for key, relay in self.relays.items() if relay.expires_at <= now]
-        for key in over:
+        expired = [key for key, relay in self.relays.items() if relay.expires_at <= now]
+        for key in expired:
             del self.relays[key]
 
     def _next_member(self) -> Member | None:
-        again = self._next_unresponsive()
-        if again is not None:
-            return again
+        unresponsive = self._next_unresponsive()
+        if unresponsive is not None:
+            return unresponsive
         while True:
             if not self.probe_order:
                 self.probe_order = self._candidates()
@@ -166,8 +166,8 @@
                 return member
 
     def _next_unresponsive(self) -> Member | None:
-        # What was silent is tried again, through other daemons than before, but only
-        # in every second turn: after a large failure the others must be found too.
+        # Unresponsive daemons are probed again, through other helpers, but only in
+        # every second turn: after a large failure the rest must be probed as well.
         self.retry_unresponsive_next = not self.retry_unresponsive_next
         while self.unresponsive and self.retry_unresponsive_next:
             member = self.members.get(self.unresponsive.pop())
--- a/src/wagtailstep/controllers/published_table.py
+++ b/src/wagtailstep/controllers/published_table.py
@@ -1,7 +1,7 @@
-"""A table that operators publish whole, in versions, through the platform.
+"""A table that operators publish as versioned documents through the platform.
 
-The newest version that was seen is in force; none that is older ever is. Daemons
-pass the document on, so that one that the platform turns away has it as well.
+The newest version seen is in force; an older one never replaces it. Daemons send the
+document to each other, so that one that cannot read it from the platform gets it too.
 """
 
 import random
@@ -25,8 +25,8 @@
 from wagtailstep.utils.clock import Clock
 
 ReadDocument = Callable[[TableDocument], Table]
-# Targets of the services of a small table are looked for before anyone asks; with many
-# services a daemon is to know only those that it is asked for.
+# Targets of a small table's services are discovered before the first request. With
+# more services a daemon keeps only the targets of those that callers request.
 MAX_PREFETCHED_SERVICES = 32
 
 
@@ -35,8 +35,8 @@
 
     :param blackboard: ``table``, ``table_known``, ``table_since`` and
         ``wanted_services`` are written.
-    :param read_document: reads a document; it raises
-        :class:`wagtailstep.exceptions.DecodeError` if that can't be done.
+    :param read_document: parses a document, and raises
+        :class:`wagtailstep.exceptions.DecodeError` if it is malformed.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force; -1 for none."""
+        """Return the version in force, or -1 if there is none."""
         return -1 if self.document is None else self.document.version
 
     @singledispatchmethod
@@ -113,7 +113,7 @@
         return self.members.send_to(daemon_id, message)
 
     def apply_document(self, document: TableDocument, source: str) -> list[Any]:
-        """Put a document in force if it is newer, and pass it on."""
+        """Put a document in force if it is newer, and send it to other members."""
         if (
             document.version <= self.version
             or document.version in self.unreadable_versions
@@ -134,7 +134,7 @@
         return effects
 
     def put_in_force(self, table: Table) -> None:
-        """Write a table to the blackboard."""
+        """Write a table to the blackboard and request a small table's services."""
         board = self.blackboard
         board.table = table
         board.table_known = True
--- a/src/wagtailstep/controllers/pulls.py
+++ b/src/wagtailstep/controllers/pulls.py
@@ -1,4 +1,4 @@
-"""When to ask for what did not arrive by itself, and whom."""
+"""When to pull updates that were not pushed, and from which daemon."""
 
 from datetime import timedelta
 
@@ -11,7 +11,7 @@
 
 @attrs.define
 class Pull:
-    """Requests for news of one daemon that have not helped yet.
+    """Unsuccessful requests for the state of one daemon.
 
     :param requested_at: monotonic time of the last request.
     :param attempts: number of requests.
@@ -23,9 +23,9 @@
 
 @attrs.define
 class PullSchedule:
-    """Spread requests over time, and over the daemon itself and its peers.
+    """Spread requests over time, and between the daemon concerned and its peers.
 
-    :param pulls: by the ``daemon_id`` of the daemon that is asked about.
+    :param pulls: by the ``daemon_id`` of the daemon whose state is requested.
     """
 
     pulls: dict[str, Pull] = attrs.field(factory=dict)
@@ -33,10 +33,10 @@
     def try_start(self, daemon_id: str, now: timedelta) -> bool:
         """Count a request, unless it is too early for another one.
 
-        After a few requests that didn't help the time between two doubles. It stays
-        bounded, since a daemon that is held for dead may come back after a cut.
+        After a few unsuccessful requests the interval doubles each time. It is
+        bounded, since a daemon taken for dead may return after a network partition.
 
-        :return: whether to send it.
+        :return: whether to send the request.
         """
         pull = self.pulls.get(daemon_id)
         if pull is None:
@@ -52,15 +52,15 @@
         return True
 
     def asks_owner(self, daemon_id: str, owner_first: bool = False) -> bool:
-        """Tell whether to ask the daemon itself, and not one of its peers.
+        """Return whether to send the request to the daemon itself, not to a peer.
 
-        They are asked in turns, since the path to either may be cut one way.
+        The two alternate, since the path to either may be partitioned one way.
 
-        :param owner_first: whether it is the first to be asked, as a peer may know
-            as little when all were started together.
+        :param owner_first: whether the daemon itself gets the first request, for
+            when peers that started at the same time may not know its state either.
         """
         return self.pulls[daemon_id].attempts % 2 == int(owner_first)
 
     def discard(self, daemon_id: str) -> None:
-        """Forget the requests about a daemon, since one helped or none is needed."""
+        """Discard the requests about a daemon: one succeeded or none is needed."""
         self.pulls.pop(daemon_id, None)
--- a/src/wagtailstep/controllers/requested_services.py
+++ b/src/wagtailstep/controllers/requested_services.py
@@ -1,4 +1,4 @@
-"""The services that callers ask this daemon for."""
+"""The services that callers request from this daemon."""
 
 from collections import OrderedDict
 from datetime import timedelta
@@ -16,7 +16,7 @@
 
 @attrs.define
 class RequestedService:
-    """When a service was asked for.
+    """When a service was requested.
 
     :param first_requested_at: monotonic time of the first request.
     :param last_requested_at: monotonic time of the latest request.
@@ -35,9 +35,9 @@
         self.by_name: OrderedDict[str, RequestedService] = OrderedDict()
 
     def record_request(self, service: str) -> None:
-        """Note that a caller asks for a service, so that its targets get known.
+        """Record a request for a service, so that this daemon learns its targets.
 
-        :raises NoTargetError: if too many services are wanted.
+        :raises NoTargetError: if too many services were requested recently.
         """
         now = self.clock.monotonic()
         requested = self.by_name.get(service)
@@ -47,14 +47,14 @@
             return
         if len(self.by_name) >= MAX_REQUESTED_SERVICES:
             raise NoTargetError(
-                f"service {service!r} is not known to this daemon, which already "
-                f"serves {MAX_REQUESTED_SERVICES} services; come back later"
+                f"service {service!r} cannot be routed: this daemon already tracks "
+                f"the maximum of {MAX_REQUESTED_SERVICES} services; retry later"
             )
         self.by_name[service] = RequestedService(now, now)
         self.blackboard.wanted_services.add(service)
 
     def expire(self) -> None:
-        """Drop services that nobody asked for lately."""
+        """Remove services that were not requested within the retention period."""
         oldest_kept = self.clock.monotonic() - REQUESTED_SERVICE_RETENTION
         while self.by_name:
             service, requested = next(iter(self.by_name.items()))
@@ -64,9 +64,9 @@
             self.blackboard.wanted_services.discard(service)
 
     def is_being_discovered(self, service: str) -> bool:
-        """Tell whether the targets of a service may get known any moment.
+        """Return whether the targets of a service may still be being discovered.
 
-        That is so for a short time after the first request for it.
+        That is the case for a short time after the first request for it.
         """
         requested = self.by_name.get(service)
         if requested is None or self.blackboard.targets.of_service(service):
--- a/src/wagtailstep/controllers/table.py
+++ b/src/wagtailstep/controllers/table.py
@@ -1,4 +1,4 @@
-"""The table controller: which table is in force at this daemon."""
+"""Replication of the table: which version is in force at this daemon."""
 
 import functools
 import random
@@ -43,14 +43,14 @@
 class TableController:
     """Keeps the newest accepted table in force, from the log and from members.
 
-    A record that was read from the log takes effect once another daemon holds it
-    as well, so that this daemon finds it again if it restarts while the log is
-    away. A daemon without a table takes none that is older than what it heard of.
+    A record read from the log takes effect once another daemon holds it as well, so
+    that this daemon can recover it if it restarts while the log is unavailable. A
+    daemon without a table accepts none that is older than one reported by a member.
 
     :param settings: the daemon's settings.
     :param blackboard: its ``table``, ``table_known`` and ``table_since`` are
         written here.
-    :param clock: tells the time.
+    :param clock: source of the current time.
     :param rng: source of all random choices.
     """
 
@@ -91,7 +91,7 @@
 
     @functools.singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
-        """Take one event and return effects; see :class:`Controller`."""
+        """Handle one event and return effects; see :class:`Controller`."""
         return []
 
     @handle.register
@@ -108,7 +108,7 @@
         return effects + self.activate_first_table()
 
     def propagate(self) -> list[Any]:
-        """Send digests and the newest records, from time to time."""
+        """Send a digest and the newest records to members when they are due."""
         effects: list[Any] = list(self.gossip.resend_records())
         if not self.gossip.try_start_digest():
             return effects
@@ -154,7 +154,7 @@
 
     @functools.singledispatchmethod
     def handle_message(self, message: Any, sender: str) -> list[Any]:
-        """Take one message of another daemon."""
+        """Handle one message of another daemon."""
         return []
 
     @handle_message.register
@@ -193,17 +193,15 @@
             result += self.report_progress(before, outcomes)
         return result + self.activate_first_table()
 
-    # Records of the log
-
     @property
     def held_position(self) -> int:
-        """Return the offset after the last record held, in force or not yet."""
+        """Return the offset after the last record held, confirmed or not."""
         if self.unconfirmed:
             return self.unconfirmed[-1].offset + 1
         return self.reader.position
 
     def apply_log_records(self, records: Iterable[LogRecord]) -> list[Any]:
-        """Fold records of the log at once."""
+        """Fold records of the log without waiting for confirmation."""
         before = self.reader.position
         outcomes: list[EditOutcome] = []
         for record in records:
@@ -211,7 +209,7 @@
         return self.report_progress(before, outcomes)
 
     def hold_records(self, records: list[LogRecord]) -> list[Any]:
-        """Keep new records until another daemon holds them too, and push them."""
+        """Push new records, and hold them until another daemon has them too."""
         if not records:
             return []
         if not self.members.count():
@@ -222,11 +220,11 @@
         return self.push_unconfirmed()
 
     def push_unconfirmed(self) -> list[Any]:
-        """Send the records that wait to a few random members."""
+        """Send the unconfirmed records to a few random members."""
         return self.gossip.push_records(self.unconfirmed, wants_answer=True)
 
     def confirm_before(self, position: int) -> list[Any]:
-        """Fold the waiting records before an offset that another daemon holds."""
+        """Fold the unconfirmed records before an offset that a member has reached."""
         ready = [r for r in self.unconfirmed if r.offset < position]
         if not ready:
             return []
@@ -235,7 +233,7 @@
         return self.apply_log_records(ready)
 
     def confirm_timed_out(self) -> list[Any]:
-        """Fold the waiting records if no member answered in time."""
+        """Fold the unconfirmed records if no member answered in time."""
         timeout = timedelta(milliseconds=self.settings.table.confirm_timeout_ms)
         if not self.unconfirmed:
             return []
@@ -244,7 +242,7 @@
         return self.confirm_before(self.held_position)
 
     def apply_peer_records(self, records: tuple[LogRecord, ...]) -> list[Any]:
-        """Fold records that another daemon holds, and pass new ones on."""
+        """Fold records that another daemon holds, and push new ones to members."""
         if not records:
             return []
         effects = self.confirm_before(records[-1].offset + 1)
@@ -275,15 +273,13 @@
         fields = {"other": sender, "version": str(digest.version)}
         effects: list[Any] = [RecordEvent("table-diverged", fields)]
         if not self.blackboard.table_known:
-            # Only a wrong snapshot makes them differ; the member's table is older.
+            # Only a wrong snapshot can cause this; the member has had its table longer.
             self.reader.reset()
             effects += self.gossip.request_missing(digest, sender)
         return effects
 
-    # The table in force
-
     def report_progress(self, before: int, outcomes: list[EditOutcome]) -> list[Any]:
-        """Report decided edits and the version that is in force now."""
+        """Report decided edits, and put a newer version in force."""
         effects: list[Any] = list(
             self.snapshot_writer.record_snapshots(self.reader.seen)
         )
@@ -311,7 +307,7 @@
         return [RecordEvent("table-in-force", {"version": str(fold.version)})]
 
     def activate_first_table(self) -> list[Any]:
-        """Put the first table in force once it can't be an older one."""
+        """Put the first table in force once it is known not to be outdated."""
         if self.blackboard.table_known:
             return []
         if not self.first_table.accepts(self.reader.position, self.members.count()):
--- a/src/wagtailstep/controllers/table_exchange.py
+++ b/src/wagtailstep/controllers/table_exchange.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other about the table."""
+"""Builders of the messages and events that describe the table's state."""
 
 from collections.abc import Iterable
 
@@ -12,10 +12,10 @@
 def build_digest(
     reader: TableReader, in_force: bool, wants_answer: bool = False
 ) -> TableDigest:
-    """Return how far a reader is.
+    """Return the digest of a reader's position and content.
 
     :param in_force: whether its table is in force.
-    :param wants_answer: whether the receiver shall answer in any case.
+    :param wants_answer: whether the receiver has to answer in any case.
     """
     fold = reader.fold
     if fold is None:
@@ -35,9 +35,10 @@
 ) -> tuple[LogRecord, ...]:
     """Return the first records, without the data of snapshots.
 
-    A record that is longer than what daemons keep for each other ends them.
+    The selection ends before a record that is too long for the tails that daemons
+    keep for each other.
 
-    :param max_bytes: roughly how many bytes of data at most.
+    :param max_bytes: approximate limit of the data; the first record may exceed it.
     """
     selected: list[LogRecord] = []
     size = 0
--- a/src/wagtailstep/controllers/table_gossip.py
+++ b/src/wagtailstep/controllers/table_gossip.py
@@ -1,4 +1,4 @@
-"""Passing records and digests of the table on to other daemons."""
+"""Propagation of the table's records and digests to other daemons."""
 
 import random
 from collections.abc import Iterable
@@ -21,11 +21,11 @@
 
 @attrs.define
 class TableGossip:
-    """Tells random members how far the table is, and gives what they lack.
+    """Sends digests to random members, and exchanges missing records with them.
 
-    :param reader: the fold and its newest records.
+    :param reader: holds the fold and its newest records.
     :param members: the other members.
-    :param first_table: what was heard before the first table.
+    :param first_table: decides when the first table is recent enough.
     :param snapshot_receiver: pulls snapshots.
     """
 
@@ -41,11 +41,11 @@
     next_repeat_at: timedelta = timedelta()
 
     def build_digest(self, wants_answer: bool = False) -> TableDigest:
-        """Return how far this daemon's table is."""
+        """Return the digest of this daemon's table."""
         return build_digest(self.reader, self.blackboard.table_known, wants_answer)
 
     def try_start_digest(self) -> bool:
-        """Tell whether it is time for a digest, and set the next time."""
+        """Return whether a digest is due, and if so schedule the next one."""
         now = self.clock.monotonic()
         if now < self.next_digest_at:
             return False
@@ -54,14 +54,14 @@
         return True
 
     def send_digest(self) -> list[SendToPeer]:
-        """Tell a random member how far the table is."""
+        """Send the digest to a random member, or request digests without a table."""
         if not self.blackboard.table_known:
             return self.request_first_digests()
         digest = self.build_digest()
         return [SendToPeer(m.peer_address, digest) for m in self.members.sample(1)]
 
     def resend_records(self) -> list[SendToPeer]:
-        """Send the newest records to a random member, from time to time."""
+        """Send the newest records to a random member if that is due."""
         now = self.clock.monotonic()
         if now < self.next_repeat_at or not self.blackboard.table_known:
             return []
@@ -73,14 +73,14 @@
         return [SendToPeer(m.peer_address, message) for m in members]
 
     def request_first_digests(self) -> list[SendToPeer]:
-        """Ask some members for their digests, with no table in force yet."""
+        """Request digests of some members while no table is in force yet."""
         self.first_table.mark_requesting()
         digest = self.build_digest(wants_answer=True)
         members = self.members.sample(self.settings.first_answers)
         return [SendToPeer(m.peer_address, digest) for m in members]
 
     def handle_digest(self, digest: TableDigest, sender: str) -> list[SendToPeer]:
-        """Send what the sender lacks, or ask for what this daemon lacks."""
+        """Send records that the sender lacks, or request what this daemon lacks."""
         local_position = self.reader.position
         if digest.position < local_position:
             return self.send_missing(digest, sender)
@@ -91,7 +91,7 @@
         return self.members.send_to(sender, self.build_digest())
 
     def send_missing(self, digest: TableDigest, sender: str) -> list[SendToPeer]:
-        """Send records after the sender's position, or tell how far this one is."""
+        """Send the records after the sender's position, or else a digest."""
         effects: list[SendToPeer] = []
         if digest.wants_answer:
             effects = self.members.send_to(sender, self.build_digest())
@@ -106,7 +106,7 @@
         return effects + self.members.send_to(sender, message)
 
     def request_missing(self, digest: TableDigest, sender: str) -> list[SendToPeer]:
-        """Ask a daemon that is ahead for records or for a snapshot."""
+        """Request records or a snapshot from a daemon that is ahead."""
         local_position = max(self.reader.position, 0)
         if digest.tail_start <= local_position:
             return self.members.send_to(sender, self.build_digest())
@@ -116,14 +116,14 @@
         return self.snapshot_receiver.start(sender, member.peer_address)
 
     def expects_log_delivery(self) -> bool:
-        """Tell whether the log will deliver what this daemon lacks."""
+        """Return whether the log is expected to deliver the missing records."""
         has_gap = self.reader.position < 0 or bool(self.reader.pending)
         return not has_gap and self.first_table.is_caught_up()
 
     def push_records(
         self, records: Iterable[LogRecord], wants_answer: bool
     ) -> list[SendToPeer]:
-        """Send records to a few random members, within the size of a message."""
+        """Send records to a few random members, up to the size limit of a reply."""
         kept = select_first_records(records, self.settings.reply_bytes)
         message = TableRecords(kept, wants_answer)
         fanout = self.settings.push_fanout if kept else 0
--- a/src/wagtailstep/controllers/table_snapshots.py
+++ b/src/wagtailstep/controllers/table_snapshots.py
@@ -1,4 +1,4 @@
-"""Writing snapshots into the log before the records that they replace expire."""
+"""Writing of snapshots to the log before the records they replace expire."""
 
 import random
 from collections.abc import Iterable
@@ -15,26 +15,26 @@
 from wagtailstep.utils.clock import Clock
 from wagtailstep.utils.ids import make_id
 
-# Shares of the log's retention.
+# Fractions of the log's retention: age at which a snapshot is due, and random delay.
 DUE_FRACTION = 0.5
 JITTER_FRACTION = 0.125
 
 
 @attrs.define
 class SnapshotWriter:
-    """Writes a snapshot when one is due and no other daemon was faster.
+    """Writes a snapshot when one is due and no other daemon wrote it first.
 
-    When a snapshot becomes due, each daemon draws a time within a share of the
-    retention, whatever the size of the fleet; those that read the first daemon's
-    snapshot before their time draw no more.
+    When a snapshot becomes due, each daemon draws a random delay, up to a fraction of
+    the retention, whatever the size of the fleet. A daemon that reads another one's
+    snapshot before its own time cancels its own.
 
     :param due_at: when this daemon writes; ``None`` if no snapshot is due.
-    :param last_snapshot_version: version of the table in the last whole snapshot.
+    :param last_snapshot_version: version of the table in the last complete snapshot.
     :param last_snapshot_at: when that snapshot, or else the oldest edit, was
         written.
     :param parts: parts that are still to be appended.
-    :param append_id: identifier of the append that is under way.
-    :param pending_version: version of the table in the snapshot under way.
+    :param append_id: identifier of the append in progress; empty if there is none.
+    :param pending_version: version of the table in the snapshot in progress.
     """
 
     settings: DaemonSettings
@@ -53,16 +53,16 @@
         return timedelta(seconds=self.settings.log.retention_s)
 
     def record_edits(self, fold: TableFold) -> None:
-        """Note the oldest edit that no snapshot was seen after."""
+        """Use the time of the oldest edit while no snapshot has been seen."""
         if self.last_snapshot_at is None and fold.accepted:
             self.last_snapshot_at = self._to_monotonic(fold.accepted[0].utc)
 
     def defer(self) -> None:
-        """Draw another time, since a member has seen a snapshot in the log."""
+        """Draw a new delay, since a member has seen a snapshot in the log."""
         self.due_at = None
 
     def record_snapshots(self, snapshots: Iterable[SeenSnapshot]) -> list[RecordEvent]:
-        """Put off the next snapshot after a right one, and report wrong ones."""
+        """Defer the next snapshot after each valid one, and report invalid ones."""
         events: list[RecordEvent] = []
         for seen in snapshots:
             part = seen.last_part
@@ -78,16 +78,16 @@
         return events
 
     def _to_monotonic(self, utc: datetime) -> timedelta:
-        # A wrong wall clock makes a snapshot early or late by a part of the
-        # retention at most; it never makes a wrong one.
+        # The age is clamped, so a wrong wall clock shifts the next snapshot by at
+        # most a fraction of the retention. It never affects the content.
         age = self.clock.utc() - utc
         age = min(max(age, timedelta()), self.retention * DUE_FRACTION)
         return self.clock.monotonic() - age
 
     def tick(self, fold: TableFold, caught_up: bool) -> list[AppendToLog]:
-        """Write a snapshot if it is this daemon's time.
+        """Start to write a snapshot if it is due and its random delay has passed.
 
-        :param caught_up: whether this daemon has just read all of the log.
+        :param caught_up: whether this daemon has recently reached the end of the log.
         """
         if self.append_id or not caught_up or not fold.version:
             return []
@@ -118,14 +118,14 @@
         return [AppendToLog(TABLE_STREAM, part, self.append_id)]
 
     def complete_append(self, event: LogAppendSettled) -> list[AppendToLog]:
-        """Go on with the next part, or draw a new time at the end or on failure."""
+        """Append the next part, or draw a new delay at the end or on failure."""
         if event.append_id != self.append_id:
             return []
         self.append_id = ""
         if event.offset is not None and self.parts:
             return self._append_next()
         if event.offset is not None or event.may_have_applied:
-            # The next read of the log tells whether it was whole.
+            # The next read of the log shows whether the snapshot is complete.
             self.last_snapshot_at = self.clock.monotonic()
             self.last_snapshot_version = self.pending_version
         self.parts.clear()
--- a/src/wagtailstep/controllers/table_transfer.py
+++ b/src/wagtailstep/controllers/table_transfer.py
@@ -1,4 +1,4 @@
-"""Passing a whole snapshot of the table from one daemon to another."""
+"""Transfer of a snapshot of the table between daemons, in chunks."""
 
 import random
 from datetime import timedelta
@@ -25,10 +25,10 @@
 
 @attrs.define
 class SnapshotSender:
-    """Answers requests for chunks, a bounded number of them in a second.
+    """Answers requests for chunks, up to a maximum rate.
 
-    One encoded snapshot is kept for a while, so that several daemons that start
-    at the same time cost one encoding.
+    One encoded snapshot is cached for a while, so that several daemons that start
+    at the same time cause only one encoding.
     """
 
     settings: TableSettings
@@ -44,7 +44,7 @@
     def handle_request(
         self, request: TableSnapshotRequest, fold: TableFold
     ) -> TableSnapshotChunk | None:
-        """Return the chunk that was asked for, or ``None`` beyond the rate."""
+        """Return the requested chunk, or ``None`` above the maximum rate."""
         self.used_at = self.clock.monotonic()
         if not self._try_acquire_send():
             return None
@@ -55,7 +55,7 @@
         return self._build_chunk(min(request.index, count - 1))
 
     def discard_stale(self) -> None:
-        """Free the encoded snapshot when it is old or nobody asked for a while."""
+        """Discard the encoded snapshot if it is too old or was not used lately."""
         now = self.clock.monotonic()
         is_old = now - self.encoded_at > MAX_SNAPSHOT_AGE
         if self.data and (is_old or now - self.used_at > MAX_SNAPSHOT_IDLE):
@@ -87,7 +87,7 @@
 
 @attrs.define
 class SnapshotReceiver:
-    """Pulls one snapshot, chunk by chunk, from one daemon at a time."""
+    """Pulls one snapshot, chunk by chunk, from a single daemon."""
 
     settings: TableSettings
     clock: Clock
@@ -104,7 +104,7 @@
         return bool(self.source)
 
     def start(self, source: str, address: str) -> list[SendToPeer]:
-        """Pull a snapshot from a daemon unless one is being pulled."""
+        """Start to pull a snapshot from a daemon unless one is being pulled."""
         if self.is_active:
             return []
         self.source = source
@@ -115,7 +115,7 @@
         return [self._request_chunk()]
 
     def cancel(self) -> None:
-        """Give up what was pulled so far."""
+        """Stop pulling and discard the chunks received so far."""
         self.source = ""
         self.chunks = []
 
@@ -125,7 +125,7 @@
         return SendToPeer(self.address, request)
 
     def tick(self) -> list[SendToPeer]:
-        """Ask again for a late chunk, and give up after some attempts."""
+        """Request a late chunk again; cancel after ``MAX_ATTEMPTS``."""
         timeout = timedelta(milliseconds=self.settings.chunk_timeout_ms)
         if not self.is_active or self.clock.monotonic() - self.requested_at < timeout:
             return []
@@ -138,9 +138,10 @@
     def handle_chunk(
         self, sender: str, chunk: TableSnapshotChunk
     ) -> tuple[list[SendToPeer], TableFold | None]:
-        """Take a chunk; the snapshot comes with the last one.
+        """Handle a chunk.
 
-        A damaged snapshot is dropped.
+        :return: requests to send; and the snapshot after the last chunk, unless it is
+            damaged.
         """
         if sender != self.source:
             return [], None
--- a/src/wagtailstep/controllers/target_leases.py
+++ b/src/wagtailstep/controllers/target_leases.py
@@ -1,4 +1,4 @@
-"""What this daemon holds of the targets beside other daemons."""
+"""Targets of other daemons as this daemon knows them, under leases."""
 
 from datetime import timedelta
 
@@ -13,14 +13,14 @@
 
 @attrs.define
 class HeldTargets:
-    """Targets beside one other daemon, and their common lease.
+    """Targets of one other daemon, and their common lease.
 
-    :param heartbeat: newest heartbeat heard of the daemon.
-    :param renewed_at: monotonic time at which that heartbeat was made, as far as
-        the ages on its way tell.
-    :param newest_version: version of its targets that the newest heartbeat names.
+    :param heartbeat: newest heartbeat received of the daemon.
+    :param renewed_at: monotonic time at which that heartbeat was made, computed from
+        the age that it carried.
+    :param newest_version: version of its targets according to the newest heartbeat.
     :param targets_version: version of ``targets``; -1 before the first update.
-    :param targets_heartbeat: heartbeat at which ``targets`` were so.
+    :param targets_heartbeat: heartbeat of the daemon when ``targets`` were current.
     :param services: services that ``targets_version`` covers in ``targets``.
     :param targets: the targets.
     :param published: whether ``targets`` are on the blackboard.
@@ -36,7 +36,7 @@
     published: bool = False
 
     def is_complete(self, needed: frozenset[str]) -> bool:
-        """Tell whether the targets of some services are held as they are now."""
+        """Return whether the current targets of some services are held."""
         current = self.targets_version == self.newest_version
         return current and self.services.issuperset(needed)
 
@@ -44,9 +44,9 @@
 def needs_pull(
     held: HeldTargets | None, needed: frozenset[str], oldest: timedelta
 ) -> bool:
-    """Tell whether targets have to be asked for.
+    """Return whether the targets or a newer heartbeat have to be requested.
 
-    :param oldest: monotonic time before which a heartbeat is too old.
+    :param oldest: a heartbeat made at this monotonic time or before is too old.
     """
     if held is None or held.renewed_at <= oldest:
         return True
@@ -57,7 +57,7 @@
     """Leases on the targets of other daemons, renewed by heartbeats.
 
     :param blackboard: where targets with a valid lease are published.
-    :param lease: how long after its heartbeat a target may be used.
+    :param lease: how long after a heartbeat the daemon's targets may be used.
     """
 
     def __init__(self, blackboard: Blackboard, lease: timedelta) -> None:
@@ -69,10 +69,10 @@
     def renew(
         self, daemon_id: str, heartbeat: int, made_at: timedelta, version: int
     ) -> bool:
-        """Take a heartbeat.
+        """Record a heartbeat, which renews the lease.
 
         :param made_at: monotonic time at which it was made.
-        :return: whether it is newer than all heard before.
+        :return: whether it is newer than all received before.
         """
         if heartbeat <= self.last_heartbeats.get(daemon_id, -1):
             return False
@@ -89,9 +89,9 @@
         return True
 
     def store(self, update: TargetsUpdate, now: timedelta) -> bool:
-        """Take the targets of a daemon.
+        """Store the targets of a daemon.
 
-        :return: whether it changed what is held.
+        :return: whether the held targets changed.
         :raises IndexError: if a target is in a state that doesn't exist.
         """
         targets = tuple(
@@ -103,7 +103,7 @@
         held = self.held_targets.get(update.daemon_id)
         if held is None or not self._has_new_targets(update, held):
             return False
-        # Targets of services that the update leaves out stay until they are pulled.
+        # Targets of services that the update omits stay until they are pulled.
         covered = frozenset(update.services)
         others = tuple(t for t in held.targets if t.service not in covered)
         if update.version == held.targets_version:
@@ -125,9 +125,9 @@
         return not held.services.issuperset(update.services)
 
     def lapse(self, now: timedelta) -> list[str]:
-        """Take targets whose lease is over off the blackboard.
+        """Remove targets whose lease has expired from the blackboard.
 
-        :return: the daemons that they are beside.
+        :return: the daemons that they belong to.
         """
         lapsed = []
         for daemon_id, held in self.held_targets.items():
@@ -138,7 +138,7 @@
         return lapsed
 
     def discard(self, daemon_id: str) -> None:
-        """Forget the targets of a daemon, but not its last heartbeat."""
+        """Discard the targets of a daemon, but keep its last heartbeat."""
         held = self.held_targets.pop(daemon_id, None)
         if held is not None:
             self._withdraw(held)
--- a/src/wagtailstep/controllers/timeline.py
+++ b/src/wagtailstep/controllers/timeline.py
@@ -1,4 +1,4 @@
-"""The events of one daemon, in a ring of bounded size, causally stamped."""
+"""A bounded ring of one daemon's events, ordered by a Lamport clock."""
 
 import collections
 
@@ -9,11 +9,11 @@
 
 
 class Timeline:
-    """Stamp events with a Lamport clock and keep the newest ones.
+    """Stamp events with Lamport times and keep the newest ones.
 
-    :param settings: gives the size of the ring.
-    :param blackboard: names this daemon and its incarnation.
-    :param clock: gives the wall-clock time of each event.
+    :param settings: provides the size of the ring.
+    :param blackboard: provides this daemon's identifier and incarnation.
+    :param clock: provides the wall-clock time of each event.
     """
 
     def __init__(
@@ -28,10 +28,10 @@
         )
 
     def record(self, kind: str, fields: dict[str, str]) -> TimelineEvent:
-        """Put one event into the ring, pushing out the oldest one if it is full.
+        """Append an event to the ring; the oldest one is evicted if it is full.
 
         :param kind: name of the event, in kebab case.
-        :param fields: what belongs to it.
+        :param fields: details of the event by name.
         """
         self.lamport += 1
         self.sequence += 1
@@ -48,10 +48,10 @@
         return event
 
     def stamp_message(self) -> int:
-        """Return the logical time to send along with a message."""
+        """Advance the Lamport clock and return the time to send with a message."""
         self.lamport += 1
         return self.lamport
 
     def observe_message(self, lamport: int) -> None:
-        """Move the logical clock past the time that a message carried."""
+        """Advance the Lamport clock past the time of a received message."""
         self.lamport = max(self.lamport, lamport) + 1
