--- a/src/wagtailstep/controllers/digests.py
+++ b/src/wagtailstep/controllers/digests.py
@@ -1,4 +1,4 @@
-"""Which heartbeats go to which daemon in the next round of digests."""
+"""Select the heartbeats that each peer gets in the next round of digests."""
 
 import random
 
@@ -7,7 +7,7 @@
 
 
 class DigestQueue:
-    """Heartbeats that this daemon still has to pass on, by service.
+    """Heartbeats that this daemon still has to propagate, by service.
 
     :param settings: membership settings.
     :param interest: index of the peers of each service.
@@ -23,39 +23,39 @@
         self.settings = settings
         self.interest = interest
         self.rng = rng
-        self.waiting: dict[str, dict[str, int]] = {}
+        self.pending_sends: dict[str, dict[str, int]] = {}
 
     def add(self, daemon_id: str, services: frozenset[str]) -> None:
         """Queue the newest heartbeat of a daemon for the peers of its services."""
         for service in services:
-            names = self.waiting.setdefault(service, {})
+            names = self.pending_sends.setdefault(service, {})
             names[daemon_id] = self.settings.digest_sends
 
-    def take(self) -> dict[str, list[str]]:
-        """Return what goes to whom in this round.
+    def pop_round(self) -> dict[str, list[str]]:
+        """Choose receivers for this round and count down the remaining sends.
 
-        :return: names of the daemons whose heartbeats are sent, by receiver.
+        :return: the daemons whose heartbeats are sent, by receiver.
         """
         plan: dict[str, set[str]] = {}
         chosen: set[str] = set()
-        for service in sorted(self.waiting):
-            names = self.waiting[service]
+        for service in sorted(self.pending_sends):
+            names = self.pending_sends[service]
             peers = self.interest.choose_peers(
                 service, self.settings.digest_fanout, chosen, self.rng
             )
             chosen.update(peers)
             for peer in peers:
                 plan.setdefault(peer, set()).update(names)
-            self._count(service, len(peers))
+            self._count_sends(service, len(peers))
         return {peer: sorted(names - {peer}) for peer, names in plan.items()}
 
-    def _count(self, service: str, sent: int) -> None:
-        left = {
+    def _count_sends(self, service: str, sent: int) -> None:
+        remaining = {
             name: count - sent
-            for name, count in self.waiting[service].items()
+            for name, count in self.pending_sends[service].items()
             if count > sent
         }
-        if left and sent:
-            self.waiting[service] = left
+        if remaining and sent:
+            self.pending_sends[service] = remaining
         else:
-            del self.waiting[service]
+            del self.pending_sends[service]
--- a/src/wagtailstep/controllers/member_updates.py
+++ b/src/wagtailstep/controllers/member_updates.py
@@ -1,4 +1,4 @@
-"""Which news of members goes onto the next message."""
+"""Member updates that are piggybacked on other messages."""
 
 import math
 
@@ -7,58 +7,60 @@
 from wagtailstep.models.fleet import Member, MemberState
 from wagtailstep.models.membership import MemberChange, MemberEntry, Updates
 
-UPDATES_BYTES_PER_MESSAGE = 1_000
+MAX_UPDATE_BYTES_PER_MESSAGE = 1_000
 CHANGE_OVERHEAD_BYTES = 13
 RETRANSMIT_FACTOR = 4
 
 
 @attrs.define
 class PendingUpdate:
-    """News of one member that has to be sent some more times.
+    """An update of one member that still has to be sent a number of times.
 
-    :param sends_left: messages that it still goes onto.
-    :param urgent: whether it goes before routine news.
-    :param whole: whether the receiver needs the whole entry.
+    :param sends_left: number of messages that it still has to be added to.
+    :param urgent: whether it is sent before routine updates.
+    :param full_entry: whether to send the full entry instead of the state only.
     """
 
     sends_left: int
     urgent: bool
-    whole: bool
+    full_entry: bool
 
 
 @attrs.define
 class UpdateQueue:
-    """News waiting to be sent, at most one piece for each member.
+    """Updates waiting to be sent, at most one for each member.
 
-    :param members: the member table, where the content is read when it is sent.
+    :param members: the member table, read at the time of sending.
     """
 
     members: dict[str, Member]
     pending: dict[str, PendingUpdate] = attrs.field(factory=dict)
 
-    def add(self, member: Member, whole: bool) -> None:
-        """Queue the newest news of a member; it replaces what was queued of it."""
+    def add(self, member: Member, full_entry: bool) -> None:
+        """Queue an update of a member, replacing one that is already queued."""
         sends = RETRANSMIT_FACTOR * math.ceil(math.log10(len(self.members) + 1))
         urgent = member.state is not MemberState.ALIVE
         queued = self.pending.pop(member.daemon_id, None)
-        whole = whole or (queued is not None and queued.whole)
-        self.pending[member.daemon_id] = PendingUpdate(max(sends, 2), urgent, whole)
+        full_entry = full_entry or (queued is not None and queued.full_entry)
+        self.pending[member.daemon_id] = PendingUpdate(
+            max(sends, 2), urgent, full_entry
+        )
 
     def clear(self) -> None:
-        """Forget all news that is waiting."""
+        """Discard all queued updates."""
         self.pending.clear()
 
-    def take(self, exclude: str = "") -> Updates:
-        """Return the news for one message: urgent first, then the least sent.
+    def pop_updates(self, exclude: str = "") -> Updates:
+        """Return updates for one message: urgent ones first, then the least sent.
 
-        :param exclude: member that the message goes to; it knows its own news.
+        :param exclude: receiver of the message, which needs no update about itself.
         """
         if not self.pending:
             return Updates()
         entries: list[MemberEntry] = []
         changes: list[MemberChange] = []
         size = 0
-        for daemon_id in self._order():
+        for daemon_id in self._sort_by_priority():
             member = self.members.get(daemon_id)
             if member is None:
                 del self.pending[daemon_id]
@@ -66,17 +68,17 @@
             if daemon_id == exclude:
                 continue
             update = self.pending[daemon_id]
-            size += estimate_bytes(member, update.whole)
-            if size > UPDATES_BYTES_PER_MESSAGE and (entries or changes):
+            size += estimate_bytes(member, update.full_entry)
+            if size > MAX_UPDATE_BYTES_PER_MESSAGE and (entries or changes):
                 break
-            if update.whole:
+            if update.full_entry:
                 entries.append(MemberEntry.from_member(member))
             else:
                 changes.append(MemberChange.from_member(member))
-            self._count(daemon_id, update)
+            self._count_send(daemon_id, update)
         return Updates(tuple(entries), tuple(changes))
 
-    def _order(self) -> list[str]:
+    def _sort_by_priority(self) -> list[str]:
         return sorted(
             self.pending,
             key=lambda name: (
@@ -85,16 +87,16 @@
             ),
         )
 
-    def _count(self, daemon_id: str, update: PendingUpdate) -> None:
+    def _count_send(self, daemon_id: str, update: PendingUpdate) -> None:
         update.sends_left -= 1
         if update.sends_left <= 0:
             del self.pending[daemon_id]
 
 
-def estimate_bytes(member: Member, whole: bool) -> int:
-    """Return about how many bytes the news of a member takes in a message."""
+def estimate_bytes(member: Member, full_entry: bool) -> int:
+    """Return the approximate size of a member's update in a message."""
     size = len(member.daemon_id) + CHANGE_OVERHEAD_BYTES
-    if not whole:
+    if not full_entry:
         return size
     size += len(member.peer_address) + len(member.gate_address)
     size += len(member.availability_zone) + 5
--- a/src/wagtailstep/controllers/pulls.py
+++ b/src/wagtailstep/controllers/pulls.py
@@ -1,64 +1,66 @@
-"""When to ask for what did not arrive by itself, and whom."""
+"""When to pull updates that were not pushed, and from which daemon."""
 
 from datetime import timedelta
 
 import attrs
 
 PULL_INTERVAL = timedelta(milliseconds=200)
-QUICK_ATTEMPTS = 4
-MAX_DOUBLINGS = 5
+ATTEMPTS_BEFORE_BACKOFF = 4
+MAX_BACKOFF_DOUBLINGS = 5
 
 
 @attrs.define
 class Pull:
-    """Requests for news of one daemon that have not helped yet.
+    """Unsuccessful requests for the state of one daemon.
 
-    :param asked_at: monotonic time of the last request.
+    :param requested_at: monotonic time of the last request.
     :param attempts: number of requests.
     """
 
-    asked_at: timedelta
+    requested_at: timedelta
     attempts: int = 1
 
 
 @attrs.define
 class PullSchedule:
-    """Spread requests over time, and over the daemon itself and its peers.
+    """Spread requests over time, and between the daemon concerned and its peers.
 
-    :param pulls: by the ``daemon_id`` of the daemon that is asked about.
+    :param pulls: by the ``daemon_id`` of the daemon whose state is requested.
     """
 
     pulls: dict[str, Pull] = attrs.field(factory=dict)
 
-    def start(self, daemon_id: str, now: timedelta) -> bool:
+    def try_start(self, daemon_id: str, now: timedelta) -> bool:
         """Count a request, unless it is too early for another one.
 
-        After a few requests that didn't help the time between two doubles. It stays
-        bounded, since a daemon that is held for dead may come back after a cut.
+        After a few unsuccessful requests the interval doubles each time. It is
+        bounded, since a daemon taken for dead may return after a network partition.
 
-        :return: whether to send it.
+        :return: whether to send the request.
         """
         pull = self.pulls.get(daemon_id)
         if pull is None:
             self.pulls[daemon_id] = Pull(now)
             return True
-        doublings = min(max(0, pull.attempts - QUICK_ATTEMPTS), MAX_DOUBLINGS)
-        if now - pull.asked_at < PULL_INTERVAL * 2**doublings:
+        doublings = min(
+            max(0, pull.attempts - ATTEMPTS_BEFORE_BACKOFF), MAX_BACKOFF_DOUBLINGS
+        )
+        if now - pull.requested_at < PULL_INTERVAL * 2**doublings:
             return False
-        pull.asked_at = now
+        pull.requested_at = now
         pull.attempts += 1
         return True
 
     def asks_owner(self, daemon_id: str, owner_first: bool = False) -> bool:
-        """Tell whether to ask the daemon itself, and not one of its peers.
+        """Return whether to send the request to the daemon itself, not to a peer.
 
-        They are asked in turns, since the path to either may be cut one way.
+        The two alternate, since the path to either may be partitioned one way.
 
-        :param owner_first: whether it is the first to be asked, as a peer may know
-            as little when all were started together.
+        :param owner_first: whether the daemon itself gets the first request, for
+            when peers that started at the same time may not know its state either.
         """
         return self.pulls[daemon_id].attempts % 2 == int(owner_first)
 
-    def forget(self, daemon_id: str) -> None:
-        """Forget the requests about a daemon, since one helped or none is needed."""
+    def discard(self, daemon_id: str) -> None:
+        """Discard the requests about a daemon: one succeeded or none is needed."""
         self.pulls.pop(daemon_id, None)
--- /dev/null
+++ b/src/wagtailstep/controllers/requested_services.py
@@ -0,0 +1,74 @@
+"""The services that callers request from this daemon."""
+
+from collections import OrderedDict
+from datetime import timedelta
+
+import attrs
+
+from wagtailstep.exceptions import NoTargetError
+from wagtailstep.models.blackboard import Blackboard
+from wagtailstep.utils.clock import Clock
+
+MAX_REQUESTED_SERVICES = 1_024
+REQUESTED_SERVICE_RETENTION = timedelta(minutes=10)
+DISCOVERY_PERIOD = timedelta(seconds=1)
+
+
+@attrs.define
+class RequestedService:
+    """When a service was requested.
+
+    :param first_requested_at: monotonic time of the first request.
+    :param last_requested_at: monotonic time of the latest request.
+    """
+
+    first_requested_at: timedelta
+    last_requested_at: timedelta
+
+
+class RequestedServices:
+    """Keep ``blackboard.wanted_services`` bounded and up to date."""
+
+    def __init__(self, blackboard: Blackboard, clock: Clock) -> None:
+        self.blackboard = blackboard
+        self.clock = clock
+        self.by_name: OrderedDict[str, RequestedService] = OrderedDict()
+
+    def record_request(self, service: str) -> None:
+        """Record a request for a service, so that this daemon learns its targets.
+
+        :raises NoTargetError: if too many services were requested recently.
+        """
+        now = self.clock.monotonic()
+        requested = self.by_name.get(service)
+        if requested is not None:
+            requested.last_requested_at = now
+            self.by_name.move_to_end(service)
+            return
+        if len(self.by_name) >= MAX_REQUESTED_SERVICES:
+            raise NoTargetError(
+                f"service {service!r} cannot be routed: this daemon already tracks "
+                f"the maximum of {MAX_REQUESTED_SERVICES} services; retry later"
+            )
+        self.by_name[service] = RequestedService(now, now)
+        self.blackboard.wanted_services.add(service)
+
+    def expire(self) -> None:
+        """Remove services that were not requested within the retention period."""
+        oldest_kept = self.clock.monotonic() - REQUESTED_SERVICE_RETENTION
+        while self.by_name:
+            service, requested = next(iter(self.by_name.items()))
+            if requested.last_requested_at >= oldest_kept:
+                return
+            del self.by_name[service]
+            self.blackboard.wanted_services.discard(service)
+
+    def is_being_discovered(self, service: str) -> bool:
+        """Return whether the targets of a service may still be being discovered.
+
+        That is the case for a short time after the first request for it.
+        """
+        requested = self.by_name.get(service)
+        if requested is None or self.blackboard.targets.of_service(service):
+            return False
+        return self.clock.monotonic() - requested.first_requested_at < DISCOVERY_PERIOD
--- a/src/wagtailstep/controllers/routing.py
+++ b/src/wagtailstep/controllers/routing.py
@@ -16,7 +16,7 @@
 import attrs
 
 from wagtailstep.controllers.limits import AccountLimiter, check_concurrency
-from wagtailstep.controllers.wanted import WantedServices
+from wagtailstep.controllers.requested_services import RequestedServices
 from wagtailstep.exceptions import NoTargetError
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import Tick
@@ -127,7 +127,7 @@
         self.rng = rng
         self.pools: dict[str, CandidatePool] = {}
         self.account_limiter = AccountLimiter(settings.requests, clock)
-        self.requested_services = WantedServices(blackboard, clock)
+        self.requested_services = RequestedServices(blackboard, clock)
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
@@ -147,7 +147,7 @@
         :raises NoTargetError: if its service is unknown and this daemon already
             tracks too many requested services.
         """
-        self.requested_services.note_request(request.service)
+        self.requested_services.record_request(request.service)
         check_concurrency(self.blackboard, request)
         self.account_limiter.acquire_token(self.blackboard.table, request)
         in_flight = self.blackboard.in_flight
--- a/src/wagtailstep/controllers/table_exchange.py
+++ b/src/wagtailstep/controllers/table_exchange.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other about the table."""
+"""Builders of the messages and events that describe the table's state."""
 
 from collections.abc import Iterable
 
@@ -9,13 +9,13 @@
 from wagtailstep.models.table_reader import TAIL_BYTES, TableReader, decode_part
 
 
-def make_digest(
+def build_digest(
     reader: TableReader, in_force: bool, wants_answer: bool = False
 ) -> TableDigest:
-    """Return how far a reader is.
+    """Return the digest of a reader's position and content.
 
     :param in_force: whether its table is in force.
-    :param wants_answer: whether the receiver shall answer in any case.
+    :param wants_answer: whether the receiver has to answer in any case.
     """
     fold = reader.fold
     if fold is None:
@@ -30,28 +30,29 @@
     )
 
 
-def take_first_records(
+def select_first_records(
     records: Iterable[LogRecord], max_bytes: int
 ) -> tuple[LogRecord, ...]:
     """Return the first records, without the data of snapshots.
 
-    A record that is longer than what daemons keep for each other ends them.
+    The selection ends before a record that is too long for the tails that daemons
+    keep for each other.
 
-    :param max_bytes: roughly how many bytes of data at most.
+    :param max_bytes: approximate limit of the data; the first record may exceed it.
     """
-    taken: list[LogRecord] = []
+    selected: list[LogRecord] = []
     size = 0
     for record in records:
         if decode_part(record) is not None:
             record = LogRecord(record.offset, b"")
         size += len(record.data)
-        if len(record.data) > TAIL_BYTES or (taken and size > max_bytes):
+        if len(record.data) > TAIL_BYTES or (selected and size > max_bytes):
             break
-        taken.append(record)
-    return tuple(taken)
+        selected.append(record)
+    return tuple(selected)
 
 
-def report_outcome(outcome: EditOutcome) -> RecordEvent:
+def build_outcome_event(outcome: EditOutcome) -> RecordEvent:
     """Return the event for one decided edit."""
     fields = {"edit_id": outcome.edit_id, "version": str(outcome.version)}
     if outcome.verdict is not EditVerdict.ACCEPTED:
