--- a/benchmarks/control_memory.py
+++ b/benchmarks/control_memory.py
@@ -87,7 +87,9 @@
     )
     member = Member("observed", 1, "a:3", "a:2", "bole")
     board = Blackboard(member)
-    board.wanted_services.update(f"service-{i:03d}" for i in range(SERVICES_PER_DAEMON))
+    board.requested_services.update(
+        f"service-{i:03d}" for i in range(SERVICES_PER_DAEMON)
+    )
     clock, rng = ManualClock(), random.Random(1)
     membership = MembershipController(settings, board, clock, rng)
     dissemination = DisseminationController(settings, board, clock, rng)
--- a/benchmarks/detection_baselines.py
+++ b/benchmarks/detection_baselines.py
@@ -8,7 +8,7 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import ProbeFinished, ProbeTarget, Tick
 from wagtailstep.models.fleet import TargetHealth
-from wagtailstep.models.request import Blame, RequestOutcome
+from wagtailstep.models.request import AttemptEnded, Blame
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.utils.clock import Clock
 
@@ -41,7 +41,7 @@
         return []
 
     @handle.register
-    def _(self, event: RequestOutcome) -> list[Any]:
+    def _(self, event: AttemptEnded) -> list[Any]:
         if event.blame is Blame.NONE:
             self.failures[event.target_id] = 0
             return []
@@ -50,7 +50,7 @@
         if count >= CONSECUTIVE_FAILURES:
             now = self.clock.monotonic()
             self.until[event.target_id] = now + timedelta(seconds=TIME_OUT_S)
-            self.blackboard.health[event.target_id] = TargetHealth(steer_away=True)
+            self.blackboard.health[event.target_id] = TargetHealth(avoided=True)
         return []
 
     @handle.register
@@ -101,7 +101,7 @@
             streak = min(-1, streak - 1)
         self.streaks[event.target_id] = streak
         if streak <= -UNHEALTHY_AFTER:
-            self.blackboard.health[event.target_id] = TargetHealth(steer_away=True)
+            self.blackboard.health[event.target_id] = TargetHealth(avoided=True)
         if streak >= HEALTHY_AFTER:
             self.blackboard.health[event.target_id] = TargetHealth()
         return []
--- a/benchmarks/detection_cost.py
+++ b/benchmarks/detection_cost.py
@@ -21,7 +21,7 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import Tick
 from wagtailstep.models.fleet import Member, Target
-from wagtailstep.models.request import Blame, RequestContext, RequestOutcome
+from wagtailstep.models.request import AttemptEnded, Blame, RequestContext
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.models.verdict import Verdict
 from wagtailstep.utils.clock import ManualClock
@@ -75,14 +75,14 @@
     return controller, clock, names
 
 
-def make_outcome(name: str, route: int, rng: random.Random) -> RequestOutcome:
+def make_outcome(name: str, route: int, rng: random.Random) -> AttemptEnded:
     """Make the outcome of a request that went well."""
     service = name.partition("/")[0]
     request = RequestContext(
         "r", service, f"route{route}", "", "GET", "/", True, None, timedelta()
     )
     latency = timedelta(seconds=0.02 * rng.lognormvariate(0, 0.5))
-    return RequestOutcome(request, name, Verdict.RUN, 200, Blame.NONE, latency)
+    return AttemptEnded(request, name, Verdict.RUN, 200, Blame.NONE, latency)
 
 
 def measure_size(targets: int, services: int, seed: int) -> Cost:
--- a/benchmarks/detection_world.py
+++ b/benchmarks/detection_world.py
@@ -45,7 +45,7 @@
 )
 from wagtailstep.models.fleet import Member, Target
 from wagtailstep.models.log import LogRecord
-from wagtailstep.models.request import Blame, RequestContext, RequestOutcome
+from wagtailstep.models.request import AttemptEnded, Blame, RequestContext
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.models.table import ServiceRow, Table
 from wagtailstep.models.verdict import Verdict
@@ -307,7 +307,7 @@
         board = daemon.board
         weights = dict.fromkeys(self.targets, 1.0)
         health = board.health
-        steered = [name for name, h in health.items() if h.steer_away]
+        steered = [name for name, h in health.items() if h.avoided]
         steered.sort(key=lambda name: -health[name].penalty)
         for name in board.ejected:
             weights.pop(name, None)
@@ -439,7 +439,7 @@
             None,
             timedelta(),
         )
-        outcome = RequestOutcome(
+        outcome = AttemptEnded(
             request=context,
             target_id=name,
             verdict=Verdict.RUN,
@@ -450,7 +450,7 @@
         )
         self.after(latency, lambda: self.take_outcome(daemon, outcome))
 
-    def take_outcome(self, daemon: FakeDaemon, outcome: RequestOutcome) -> None:
+    def take_outcome(self, daemon: FakeDaemon, outcome: AttemptEnded) -> None:
         """Give an outcome to the daemon that waited for it."""
         daemon.board.in_flight.by_target[outcome.target_id] -= 1
         self.dispatch(daemon, outcome)
--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -53,9 +53,9 @@
         self.skipped = 0
         super().__init__(fd, lambda: self.now_s)
 
-    def take_routine(self) -> bool:
+    def try_acquire_routine_line(self) -> bool:
         """Count a routine line that is left out."""
-        taken = super().take_routine()
+        taken = super().try_acquire_routine_line()
         self.skipped += not taken
         return taken
 
--- a/benchmarks/table_fleet.py
+++ b/benchmarks/table_fleet.py
@@ -20,7 +20,7 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import (
     AppendToLog,
-    LogAppendSettled,
+    LogAppendFinished,
     LogCaughtUp,
     LogGap,
     LogRecordsRead,
@@ -277,7 +277,7 @@
             pass
         except AppendUnknownError:
             may_have_applied = True
-        settled = LogAppendSettled(effect.append_id, offset, may_have_applied)
+        settled = LogAppendFinished(effect.append_id, offset, may_have_applied)
         self.feed(daemon, settled)
 
     def send(self, daemon: FleetDaemon, effect: SendToPeer) -> None:
--- a/features/steps/asking_gates_steps.py
+++ b/features/steps/asking_gates_steps.py
@@ -100,7 +100,7 @@
             idempotent=idempotent,
             idempotency_key=None,
             deadline=now + timedelta(seconds=4),
-            aim_at=now + AIM,
+            aim_deadline=now + AIM,
             max_attempts=2,
         )
         incoming = IncomingRequest("POST", "/", (), yield_body(b""))
@@ -219,7 +219,7 @@
             route=kind.route,
             idempotent=False,
             deadline=arrived_at + timedelta(seconds=4),
-            aim_at=arrived_at + kind.aim,
+            aim_deadline=arrived_at + kind.aim,
             arrived_at=arrived_at,
             may_wait=may_wait,
         )
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -13,28 +13,28 @@
 from wagtailstep.models.claims import (
     ClaimBatch,
     ClaimEntry,
+    claim_stream,
     digest_key,
-    name_stream,
 )
 from wagtailstep.models.events import (
     AppendToLog,
-    LogAppendSettled,
+    LogAppendFinished,
     LogGap,
     LogRecordsRead,
     Tick,
 )
 from wagtailstep.models.fleet import MemberState
 from wagtailstep.models.idempotency import (
-    PassOn,
     Refuse,
+    RelayToDaemon,
     Replay,
     RequestDecided,
-    RunHere,
+    RunLocally,
     StoredAnswer,
     Wait,
 )
 from wagtailstep.models.log import LogRecord
-from wagtailstep.models.table import LogAwayPolicy, ServiceRow
+from wagtailstep.models.table import LogUnavailablePolicy, ServiceRow
 from wagtailstep.models.verdict import Verdict
 from wagtailstep.utils.clock import ManualClock
 from wagtailstep.utils.codec import encode_message
@@ -47,12 +47,12 @@
 
 register_type(Q=read_quoted)
 
-STREAM = name_stream("contracts")
+STREAM = claim_stream("contracts")
 DAEMONS = ("a", "b", "c")
 NAMES = {
-    RunHere: "run",
+    RunLocally: "run",
     Wait: "wait",
-    PassOn: "pass on",
+    RelayToDaemon: "pass on",
     Replay: "replay",
     Refuse: "refuse",
 }
@@ -106,7 +106,7 @@
         else:
             self.lost.append(data)
         offset = len(self.context.log) - 1 if acknowledged else None
-        event = LogAppendSettled(append.append_id, offset, not acknowledged)
+        event = LogAppendFinished(append.append_id, offset, not acknowledged)
         self.take(self.guard.handle(event))
 
     def read(self):
@@ -200,7 +200,7 @@
 def refuse_append(context, name):
     daemon = context.daemons[name]
     append = daemon.appends.pop()
-    daemon.take(daemon.guard.handle(LogAppendSettled(append.append_id, None, False)))
+    daemon.take(daemon.guard.handle(LogAppendFinished(append.append_id, None, False)))
 
 
 @when('"{name:Q}" gets a request with key "{key:Q}" although it has no room')
@@ -228,7 +228,7 @@
     assert NAMES[type(decision)] == expected, decision
     if isinstance(decision, Refuse):
         assert decision.error.verdict.value == detail, decision.error
-    elif isinstance(decision, PassOn):
+    elif isinstance(decision, RelayToDaemon):
         assert decision.daemon_id == detail, decision
     elif isinstance(decision, Replay):
         assert decision.answer.body.decode() == detail
@@ -237,7 +237,7 @@
 def start_ticket(context, name, **changes):
     daemon = context.daemons[name]
     decision = daemon.begin(context.ticket, **changes)
-    if isinstance(decision, RunHere):
+    if isinstance(decision, RunLocally):
         daemon.run_id = decision.run_id
     return decision
 
@@ -463,7 +463,7 @@
 
 @given('the table lets "contracts" send once while the log is away')
 def set_send_once(context):
-    row = ServiceRow("contracts", log_away=LogAwayPolicy.SEND_ONCE)
+    row = ServiceRow("contracts", log_away=LogUnavailablePolicy.SEND_ONCE)
     for daemon in context.daemons.values():
         daemon.board.table.services["contracts"] = row
 
--- a/features/steps/call_ratios_steps.py
+++ b/features/steps/call_ratios_steps.py
@@ -8,7 +8,7 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import Tick
 from wagtailstep.models.fleet import Member
-from wagtailstep.models.gate import LocalCall, WorkStarted, WorkStopped
+from wagtailstep.models.gate import LocalCall, ResponseWaitEnded, WorkStarted
 from wagtailstep.utils.clock import ManualClock
 
 
@@ -34,7 +34,7 @@
             context.ratios.handle(LocalCall("archive"))
         while len(running) > rng.randint(0, 3):
             serial = running.pop(rng.randrange(len(running)))
-            context.ratios.handle(WorkStopped(serial))
+            context.ratios.handle(ResponseWaitEnded(serial))
         context.ratios.handle(Tick())
 
 
--- a/features/steps/control_bus_steps.py
+++ b/features/steps/control_bus_steps.py
@@ -18,10 +18,10 @@
     Digest,
     MemberChange,
     MemberEntry,
+    MemberUpdates,
     Ping,
     TargetEntry,
     TargetsUpdate,
-    Updates,
     member_reference,
 )
 from wagtailstep.models.settings import MembershipSettings
@@ -169,14 +169,14 @@
     member = node.blackboard.members[other]
     context.incarnation = member.incarnation
     suspect = attrs.evolve(member, state=MemberState.SUSPECT)
-    updates = Updates(changes=(MemberChange.from_member(suspect),))
+    updates = MemberUpdates(changes=(MemberChange.from_member(suspect),))
     hear(context, daemon_id, Ping(1, SEEDS[0], updates))
 
 
 @when("daemon {daemon_id} hears the old entry of {other}")
 def hear_old_entry(context, daemon_id, other):
     old = context.bus.nodes[other].blackboard.this_member
-    updates = Updates(entries=(MemberEntry.from_member(old),))
+    updates = MemberUpdates(entries=(MemberEntry.from_member(old),))
     hear(context, daemon_id, Ping(1, SEEDS[0], updates))
 
 
@@ -187,7 +187,7 @@
 
 @when('daemon {daemon_id} begins to want "{service}"')
 def want_service(context, daemon_id, service):
-    context.bus.nodes[daemon_id].blackboard.wanted_services.add(service)
+    context.bus.nodes[daemon_id].blackboard.requested_services.add(service)
 
 
 @when("the backend server beside {daemon_id} leaves")
@@ -226,7 +226,7 @@
         Digest(far, (reference,)),
         TargetsUpdate("d03", "bole", far, far, 1, ("contracts",), ()),
         TargetsUpdate("d03", "bole", far, 0, 1, ("contracts",), (target,)),
-        Ping(1, SEEDS[0], Updates((entry,), (change,))),
+        Ping(1, SEEDS[0], MemberUpdates((entry,), (change,))),
     ):
         hear(context, daemon_id, message)
 
--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -16,7 +16,7 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import (
     AppendToLog,
-    LogAppendSettled,
+    LogAppendFinished,
     LogCaughtUp,
     LogGap,
     LogRecordsRead,
@@ -211,7 +211,7 @@
 
 @then('the append is settled with offset "{offset}" and may have applied "{applied}"')
 def check_settled(context, offset, applied):
-    settled = [e for e in context.recorder.events if isinstance(e, LogAppendSettled)]
+    settled = [e for e in context.recorder.events if isinstance(e, LogAppendFinished)]
     (event,) = settled
     assert event.append_id == "append-1"
     assert str(event.offset) == offset
@@ -279,7 +279,7 @@
     async def join(self):
         first = self.daemons[0].blackboard
         await wait_until(lambda: first.table_known and len(first.members) == 2)
-        first.wanted_services.add(SERVICE)
+        first.requested_services.add(SERVICE)
         await wait_until(lambda: first.targets)
 
     async def publish_table(self):
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -19,7 +19,7 @@
 from wagtailstep.models.fleet import TargetHealth
 from wagtailstep.models.headers import find_header
 from wagtailstep.models.idempotency import RequestDecided
-from wagtailstep.models.request import RequestEnded, RequestOutcome
+from wagtailstep.models.request import AttemptEnded, RequestEnded
 from wagtailstep.models.table import RouteRow
 from wagtailstep.models.verdict import Verdict
 from wagtailstep.network.entry import EntryService
@@ -367,7 +367,7 @@
 def check_attempts(context, count):
     made = len(context.world.forwarder.times_left)
     assert made == count, made
-    told = [e for e in context.world.events if isinstance(e, RequestOutcome)]
+    told = [e for e in context.world.events if isinstance(e, AttemptEnded)]
     assert len(told) == count, told
 
 
@@ -425,7 +425,7 @@
 
 @then('the outcome blames "{blame}" with verdict "{verdict}"')
 def check_outcome(context, blame, verdict):
-    (outcome,) = context.world.find_events(RequestOutcome)
+    (outcome,) = context.world.find_events(AttemptEnded)
     assert outcome.blame.value == blame, outcome
     assert outcome.verdict.value == verdict, outcome
 
--- a/features/steps/evidence_steps.py
+++ b/features/steps/evidence_steps.py
@@ -16,7 +16,7 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import ProbeFinished, SendToPeer, Tick
 from wagtailstep.models.fleet import Member, Target
-from wagtailstep.models.request import Blame, RequestContext, RequestOutcome
+from wagtailstep.models.request import AttemptEnded, Blame, RequestContext
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.models.table import ServiceRow, Table
 from wagtailstep.models.verdict import Verdict
@@ -58,7 +58,7 @@
         request = RequestContext(
             "r", "s", "lookup", "", "GET", "/", True, None, timedelta()
         )
-        outcome = RequestOutcome(
+        outcome = AttemptEnded(
             request=request,
             target_id=name,
             verdict=Verdict.RUN,
@@ -86,7 +86,7 @@
                     self.end_request(name, **how)
 
     def avoided(self):
-        return {name for name, h in self.board.health.items() if h.steer_away}
+        return {name for name, h in self.board.health.items() if h.avoided}
 
 
 @given("a daemon that knows {count:d} targets in 3 zones")
--- a/features/steps/gate_steps.py
+++ b/features/steps/gate_steps.py
@@ -10,7 +10,7 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.fleet import Member, Target, TargetState
 from wagtailstep.models.gate import (
-    AttemptRevoked,
+    AttemptRevocationRequested,
     GateRequest,
     GateRequestAbandoned,
     GateRequestArrived,
@@ -147,7 +147,7 @@
 
 @when("attempt {serial:d} is revoked by its entry")
 def revoke(context, serial):
-    event = AttemptRevoked(f"attempt-{serial}")
+    event = AttemptRevocationRequested(f"attempt-{serial}")
     (effect,) = context.gate.controller.handle(event)
     context.told = effect.state.value
 
@@ -254,8 +254,8 @@
     "request {serial:d} arrives with priority {priority:d} and {aim:d} ms until its aim"
 )
 def arrive_aimed(context, serial, priority, aim):
-    aim_at = context.gate.clock.monotonic() + aim * MILLISECOND
-    context.gate.arrive(serial, priority=priority, aim_at=aim_at)
+    aim_deadline = context.gate.clock.monotonic() + aim * MILLISECOND
+    context.gate.arrive(serial, priority=priority, aim_deadline=aim_deadline)
 
 
 @when("request {serial:d} arrives and its backend server turns it away unexecuted")
--- a/features/steps/host_routes_steps.py
+++ b/features/steps/host_routes_steps.py
@@ -11,7 +11,7 @@
     HostRoute,
     HostRoutes,
     RouteKind,
-    RoutePart,
+    WeightedService,
 )
 
 SECOND = timedelta(seconds=1)
@@ -21,7 +21,7 @@
     parts = []
     for word in text.split():
         service, _, weight = word.partition("*")
-        parts.append(RoutePart(service, float(weight or 1)))
+        parts.append(WeightedService(service, float(weight or 1)))
     return tuple(parts)
 
 
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -13,7 +13,7 @@
 from wagtailstep.commands.report_load import draw_results, format_results
 from wagtailstep.controllers.load_plan import order_sides, plan_slice
 from wagtailstep.fakes.backend_server import BackendServer, BackendServerSettings
-from wagtailstep.models.load_results import sum_up
+from wagtailstep.models.load_results import combine_results
 from wagtailstep.models.load_settings import (
     ArrivalSettings,
     LoadClass,
@@ -108,7 +108,7 @@
 
 def find_whole(context, name):
     (side,) = [side for side in context.sides if side.name == name]
-    return sum_up(side.total())
+    return combine_results(side.total())
 
 
 @then('"new" answers at least {high:d} % in aim and "old" at most {low:d} %')
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -18,7 +18,11 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.exchange import IncomingRequest
 from wagtailstep.models.fleet import Member, Target, TargetState
-from wagtailstep.models.gate import AttemptRevoked, AttemptState, TellAttemptState
+from wagtailstep.models.gate import (
+    AttemptRevocationRequested,
+    AttemptState,
+    ReportAttemptState,
+)
 from wagtailstep.models.request import RequestContext
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.network.exchange_app import ExchangeApp
@@ -37,9 +41,9 @@
 
     def handle(self, event):
         effects = super().handle(event)
-        if any(isinstance(effect, TellAttemptState) for effect in effects):
+        if any(isinstance(effect, ReportAttemptState) for effect in effects):
             self.memory.revoked.added_at.clear()
-            return [TellAttemptState(AttemptState.REVOKED)]
+            return [ReportAttemptState(AttemptState.REVOKED)]
         return effects
 
 
@@ -134,7 +138,7 @@
 
         def handle_and_deliver(event):
             effects = handle(event)
-            if isinstance(event, AttemptRevoked):
+            if isinstance(event, AttemptRevocationRequested):
                 for connection in self.silent:
                     connection.transport.resume_reading()
             return effects
--- a/features/steps/path_watch_steps.py
+++ b/features/steps/path_watch_steps.py
@@ -8,9 +8,9 @@
 
 from wagtailstep.controllers.path_watch import PathWatch
 from wagtailstep.models.blackboard import Blackboard
-from wagtailstep.models.events import GateSilent, Tick
+from wagtailstep.models.events import GateUnresponsive, Tick
 from wagtailstep.models.fleet import Member, Target
-from wagtailstep.models.request import Blame, RequestOutcome
+from wagtailstep.models.request import AttemptEnded, Blame
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.models.verdict import Verdict
 from wagtailstep.utils.clock import ManualClock
@@ -38,13 +38,13 @@
     latency = timedelta(milliseconds=200)
     request = make_request(context)
     context.watch.handle(
-        RequestOutcome(request, "contracts/i-2", verdict, 200, blame, latency)
+        AttemptEnded(request, "contracts/i-2", verdict, 200, blame, latency)
     )
 
 
 @when("its gate can't be reached to ask about a request")
 def lose_gate(context):
-    context.watch.handle(GateSilent("127.0.0.1:7102"))
+    context.watch.handle(GateUnresponsive("127.0.0.1:7102"))
 
 
 @when("{wait_ms:d} ms pass on the path")
@@ -57,5 +57,5 @@
 @then('the path is "{state}"')
 def check_path(context, state):
     health = context.board.health.get("contracts/i-2")
-    avoided = health is not None and health.steer_away
+    avoided = health is not None and health.avoided
     assert avoided == (state == "avoided"), health
--- a/features/steps/published_table_steps.py
+++ b/features/steps/published_table_steps.py
@@ -114,4 +114,4 @@
 
 @then('daemon {index:d} wants the service "{service}"')
 def check_wanted(context, index, service):
-    assert service in context.boards[index].wanted_services
+    assert service in context.boards[index].requested_services
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -141,7 +141,7 @@
 @given("picks steer away from targets {numbers}")
 def set_steering(context, numbers):
     for number in read_numbers(numbers):
-        find_health(context, number).steer_away = True
+        find_health(context, number).avoided = True
 
 
 @given("target {number:d} has the higher penalty")
@@ -293,17 +293,17 @@
 
 @then("at most {count:d} services are wanted")
 def check_wanted(context, count):
-    assert 0 < len(context.board.wanted_services) <= count
+    assert 0 < len(context.board.requested_services) <= count
 
 
 @then("none of them is wanted any more after 11 minutes")
 def check_expiry(context):
     context.clock.advance(timedelta(minutes=9))
     context.routing.handle(Tick())
-    assert context.board.wanted_services
+    assert context.board.requested_services
     context.clock.advance(timedelta(minutes=2))
     context.routing.handle(Tick())
-    assert not context.board.wanted_services
+    assert not context.board.requested_services
     context.routing.admit(make_request(context))
 
 
--- a/features/steps/table_races_steps.py
+++ b/features/steps/table_races_steps.py
@@ -67,13 +67,13 @@
 class CarelessReader(TableReader):
     """Takes a snapshot without holding all records after it."""
 
-    def _decode_usable(self, part, data):
+    def _decode_if_usable(self, part, data):
         return decode_snapshot(data)
 
-    def offer(self, record):
+    def apply_record(self, record):
         if self.fold is not None and record.offset > self.position:
             self.fold.next_offset = record.offset
-        return super().offer(record)
+        return super().apply_record(record)
 
 
 class CarelessController(TableController):
--- a/features/steps/table_steps.py
+++ b/features/steps/table_steps.py
@@ -31,7 +31,7 @@
 def append(context, data):
     record = LogRecord(len(context.records), data)
     context.records.append(record)
-    outcomes = context.reader.read_log(record)
+    outcomes = context.reader.apply_log_record(record)
     context.outcome = outcomes[0] if outcomes else None
 
 
@@ -140,7 +140,7 @@
 def read_kept(context):
     reader = TableReader()
     for record in context.kept:
-        reader.read_log(record)
+        reader.apply_log_record(record)
     return reader
 
 
@@ -180,13 +180,13 @@
 
 @then("the old reader reports the snapshot as wrong")
 def check_old_reader(context):
-    assert context.reader.seen[-1].problem
+    assert context.reader.checked_snapshots[-1].problem
 
 
 @then("a new reader reports the snapshot as wrong")
 def check_new_reader(context):
     reader = read_kept(context)
-    assert reader.seen[-1].problem
+    assert reader.checked_snapshots[-1].problem
     assert reader.fold is None
 
 
@@ -247,7 +247,7 @@
     assert list(packed) == sorted(plain)
     assert dict(packed.items()) == plain
     assert len(packed) == len(plain)
-    prefixed = [key for key, _ in packed.numbers_from("b1")]
+    prefixed = [key for key, _ in packed.numbers_with_prefix("b1")]
     assert prefixed == sorted(key for key in plain if key.startswith("b1"))
 
 
--- a/features/steps/target_judge_steps.py
+++ b/features/steps/target_judge_steps.py
@@ -143,7 +143,7 @@
         route="sign",
         idempotent=safety == "idempotent",
         deadline=context.clock.monotonic() + timedelta(seconds=4),
-        chosen_standing=TargetStanding[known.upper()],
+        expected_standing=TargetStanding[known.upper()],
     )
     (effect,) = gate.handle(GateRequestArrived(request))
     if outcome == "run":
--- a/src/wagtailstep/commands/report_load.py
+++ b/src/wagtailstep/commands/report_load.py
@@ -7,8 +7,8 @@
 from wagtailstep.models.load_results import (
     ClassResult,
     SideResult,
+    combine_results,
     compare_sides,
-    sum_up,
 )
 
 ALL = "all"
@@ -24,7 +24,7 @@
     lines = [HEADER]
     for side in sides:
         totals = side.total()
-        for name, result in {**totals, ALL: sum_up(totals)}.items():
+        for name, result in {**totals, ALL: combine_results(totals)}.items():
             lines.append(format_row(side.name, name, result))
     if len(sides) == 2:
         lines.append(format_difference(*sides))
@@ -44,7 +44,7 @@
 def format_difference(first: SideResult, second: SideResult) -> str:
     """Write by how much the second side is better."""
     difference = compare_sides(first, second)
-    verdict = "clear" if difference.is_clear else "within chance"
+    verdict = "clear" if difference.is_significant else "within chance"
     return (
         f"goodput of {second.name} less that of {first.name}: "
         f"{difference.mean:+.4f} +/- {difference.margin:.4f} ({verdict}, "
@@ -68,7 +68,7 @@
     by_slice, by_percent = figure.subplots(1, 2)
     for side in sides:
         by_slice.plot(side.goodputs(), marker="o", label=side.name)
-        latencies = sum_up(side.total())
+        latencies = combine_results(side.total())
         percents = [*range(1, 100), 99.5, 99.9]
         values = [latencies.latency_ms(percent) for percent in percents]
         by_percent.plot(percents, values, label=side.name)
--- a/src/wagtailstep/commands/table_client.py
+++ b/src/wagtailstep/commands/table_client.py
@@ -100,7 +100,7 @@
             for record in batch.records:
                 if _has_version(reader, stop_version):
                     break
-                reader.read_log(record)
+                reader.apply_log_record(record)
             offset = batch.next_offset
         return offset
 
--- a/src/wagtailstep/commands/table_restore.py
+++ b/src/wagtailstep/commands/table_restore.py
@@ -110,5 +110,5 @@
         tuple(file.rows)[:1],
     )
     fold = TableFold(table, next_offset, content_hash, horizon=version)
-    fold.remember(restored)
+    fold.add_accepted_edit(restored)
     return fold
--- a/src/wagtailstep/controllers/announcements.py
+++ b/src/wagtailstep/controllers/announcements.py
@@ -127,15 +127,17 @@
     def _is_newest(self, event: TargetAnnounced) -> bool:
         """Tell whether an announcement is neither late nor of a process that left."""
         target = event.target
-        if event.born and event.born < self._born_at(target.address):
+        if event.process_started and event.process_started < self._born_at(
+            target.address
+        ):
             return False
         registration = self.registrations.setdefault(target.target_id, Registration())
         self.registrations.move_to_end(target.target_id)
         while len(self.registrations) > MAX_REGISTRATIONS:
             self.registrations.popitem(last=False)
-        if not registration.take(event.born, event.sequence):
+        if not registration.take(event.process_started, event.sequence):
             return False
-        if registration.left and event.born:
+        if registration.left and event.process_started:
             return False
         self._replace_at(target)
         return True
@@ -177,7 +179,7 @@
             name = f"{event.service}/{event.instance_id}"
             forget_at = self.clock.monotonic() + LATE_ANNOUNCEMENTS
             self.registrations[name] = Registration(
-                born=event.at, left=True, forget_at=forget_at
+                born=event.left_at, left=True, forget_at=forget_at
             )
             return []
         effects: list[Any] = []
--- a/src/wagtailstep/controllers/call_ratios.py
+++ b/src/wagtailstep/controllers/call_ratios.py
@@ -14,7 +14,7 @@
 
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import Tick
-from wagtailstep.models.gate import LocalCall, WorkStarted, WorkStopped
+from wagtailstep.models.gate import LocalCall, ResponseWaitEnded, WorkStarted
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.utils.clock import Clock
 
@@ -82,7 +82,7 @@
         return []
 
     @handle.register
-    def _(self, event: WorkStopped) -> list[Any]:
+    def _(self, event: ResponseWaitEnded) -> list[Any]:
         self.running.pop(event.serial, None)
         return []
 
--- a/src/wagtailstep/controllers/claim_appends.py
+++ b/src/wagtailstep/controllers/claim_appends.py
@@ -6,7 +6,7 @@
 import attrs
 
 from wagtailstep.models.claims import ClaimBatch, ClaimEntry
-from wagtailstep.models.events import AppendToLog, LogAppendSettled
+from wagtailstep.models.events import AppendToLog, LogAppendFinished
 from wagtailstep.utils.ids import make_id
 
 MAX_BATCH_ENTRIES = 256
@@ -60,7 +60,9 @@
         batch = ClaimBatch(self.daemon_id, self.boot_id, self.under_way)
         return [AppendToLog(self.stream, batch, self.append_id)]
 
-    def settle(self, event: LogAppendSettled, now: timedelta) -> tuple[ClaimEntry, ...]:
+    def settle(
+        self, event: LogAppendFinished, now: timedelta
+    ) -> tuple[ClaimEntry, ...]:
         """Take the end of the append under way.
 
         :param now: monotonic time.
--- a/src/wagtailstep/controllers/claims.py
+++ b/src/wagtailstep/controllers/claims.py
@@ -36,23 +36,23 @@
     ClaimBatch,
     ClaimEntry,
     ClaimHolder,
+    claim_stream,
     digest_key,
-    name_stream,
 )
-from wagtailstep.models.events import FollowStream, LogAppendSettled, RecordEvent
+from wagtailstep.models.events import FollowStream, LogAppendFinished, RecordEvent
 from wagtailstep.models.fleet import MemberState
 from wagtailstep.models.idempotency import (
     Decision,
-    PassOn,
     Refuse,
+    RelayToDaemon,
     RequestDecided,
-    RunHere,
+    RunLocally,
     Wait,
 )
 from wagtailstep.models.log import LogRecord
 from wagtailstep.models.request import RequestContext
 from wagtailstep.models.settings import DaemonSettings
-from wagtailstep.models.table import LogAwayPolicy
+from wagtailstep.models.table import LogUnavailablePolicy
 from wagtailstep.utils.clock import Clock
 from wagtailstep.utils.codec import decode_message
 
@@ -93,7 +93,7 @@
         self.blackboard = blackboard
         self.clock = clock
         self.runs = runs
-        self.stream = name_stream(service)
+        self.stream = claim_stream(service)
         retention = timedelta(seconds=settings.log.retention_s)
         self.fold = ClaimFold(capacity, retention)
         self.appender = ClaimAppender(self.stream, settings.daemon_id, boot_id, rng)
@@ -157,7 +157,7 @@
         member = self.blackboard.members.get(holder.daemon_id)
         if member is None or member.state is MemberState.DEAD:
             return Refuse(make_unknown_error("the daemon that holds its key is gone"))
-        return PassOn(holder.daemon_id)
+        return RelayToDaemon(holder.daemon_id)
 
     def begin_without_log(
         self, key: bytes, request: RequestContext, fingerprint: str
@@ -168,7 +168,7 @@
         resends find it.
         """
         row = self.blackboard.table.service_row(self.service)
-        if row.log_away is LogAwayPolicy.REFUSE:
+        if row.log_away is LogUnavailablePolicy.REFUSE:
             return Refuse(make_log_away_error(request)), []
         entry = self.make_claim(key)
         self.appender.add(entry)
@@ -183,12 +183,12 @@
         self.appender.add(entry)
         return Wait(), [FollowStream(self.stream), *self.flush()]
 
-    def start_run(self, entry: ClaimEntry, fingerprint: str) -> RunHere:
+    def start_run(self, entry: ClaimEntry, fingerprint: str) -> RunLocally:
         """Note that this daemon runs the request of a claim now."""
         run_id = self.name_run(entry.key)
         run = Run(run_id, self.service, RunState.RUNNING, fingerprint, claim=entry)
         self.runs.add(run)
-        return RunHere(run_id)
+        return RunLocally(run_id)
 
     def finish(self, run: Run) -> list[Any]:
         """Release the claim of a run that ended as not run.
@@ -232,7 +232,7 @@
             self.appender.withdraw(pending.entry)
             self.give_up(pending.entry)
 
-    def settle_append(self, event: LogAppendSettled) -> list[Any]:
+    def settle_append(self, event: LogAppendFinished) -> list[Any]:
         """Take the end of the append under way."""
         sent = self.appender.under_way
         lost = self.appender.settle(event, self.clock.monotonic())
--- a/src/wagtailstep/controllers/dissemination.py
+++ b/src/wagtailstep/controllers/dissemination.py
@@ -19,8 +19,8 @@
 from wagtailstep.models.fleet import Member, MemberState, Target, TargetState
 from wagtailstep.models.membership import (
     AGE_UNIT_MS,
-    BEAT_EPOCH_MS,
-    BEAT_MS,
+    HEARTBEAT_EPOCH_MS,
+    HEARTBEAT_UNIT_MS,
     Digest,
     DigestRequest,
     TargetEntry,
@@ -68,7 +68,7 @@
         self.digests = DigestQueue(self.settings, self.interest, rng)
         self.reference = member_reference(blackboard.this_member.daemon_id)
         self.started_at = clock.monotonic()
-        self.beat = 0
+        self.heartbeat = 0
         self.beat_at = timedelta()
         self.version = 0
         self.own_targets: tuple[Target, ...] = ()
@@ -111,22 +111,22 @@
         effects: list[Any] = []
         rows = message.rows
         for index in range(0, len(rows) - 3, 4):
-            reference, beat, age, version = rows[index : index + 4]
-            beat += message.base
+            reference, heartbeat, age, version = rows[index : index + 4]
+            heartbeat += message.base
             if not 0 <= age * AGE_UNIT_MS <= self.settings.lease_ms:
                 continue
             made_at = now - timedelta(milliseconds=age * AGE_UNIT_MS)
             if reference == self.reference:
-                self._surpass(beat)
+                self._surpass(heartbeat)
                 continue
             daemon_id = self.interest.references.get(reference)
             if daemon_id is None:
                 continue
-            if self.leases.renew(daemon_id, beat, made_at, version):
+            if self.leases.renew(daemon_id, heartbeat, made_at, version):
                 self.pulls.forget(daemon_id)
                 self.digests.add(daemon_id, self.interest.needed[daemon_id])
             elif daemon_id == sender:
-                effects += self._answer_stale_owner(sender, beat)
+                effects += self._answer_stale_owner(sender, heartbeat)
         return effects
 
     @_receive.register
@@ -137,7 +137,7 @@
             rows += self._own_row()
         if not rows:
             return []
-        return [SendToPeer(message.reply_to, Digest(self.beat, tuple(rows)))]
+        return [SendToPeer(message.reply_to, Digest(self.heartbeat, tuple(rows)))]
 
     @_receive.register
     def _(self, message: TargetsRequest, sender: str) -> list[Any]:
@@ -195,20 +195,22 @@
     def _next_beat(self, now: timedelta) -> None:
         uptime_ms = (now - self.started_at) // timedelta(milliseconds=1)
         wall_ms = self.blackboard.this_member.incarnation + uptime_ms
-        self.beat = max(self.beat + 1, (wall_ms - BEAT_EPOCH_MS) // BEAT_MS)
+        self.heartbeat = max(
+            self.heartbeat + 1, (wall_ms - HEARTBEAT_EPOCH_MS) // HEARTBEAT_UNIT_MS
+        )
         self.beat_at = now
 
-    def _surpass(self, beat: int) -> None:
+    def _surpass(self, heartbeat: int) -> None:
         # An earlier run of this daemon got further, since the wall clock was ahead.
-        self.beat = max(self.beat, beat)
+        self.heartbeat = max(self.heartbeat, heartbeat)
 
-    def _answer_stale_owner(self, sender: str, beat: int) -> list[Any]:
+    def _answer_stale_owner(self, sender: str, heartbeat: int) -> list[Any]:
         member = self.blackboard.members.get(sender)
         last = self.leases.last_beats[sender]
-        if member is None or last - beat < STALE_OWN_BEATS:
+        if member is None or last - heartbeat < STALE_OWN_BEATS:
             return []
-        row = (member_reference(sender), last - self.beat, 0, 0)
-        return [SendToPeer(member.peer_address, Digest(self.beat, row))]
+        row = (member_reference(sender), last - self.heartbeat, 0, 0)
+        return [SendToPeer(member.peer_address, Digest(self.heartbeat, row))]
 
     def _renew(self, now: timedelta) -> None:
         if now < self.renew_at or not self.own_targets:
@@ -226,7 +228,7 @@
         services = frozenset(t.service for t in targets + self.own_targets)
         self.own_targets = targets
         self._next_beat(now)
-        self.version = self.beat & MAX_VERSION
+        self.version = self.heartbeat & MAX_VERSION
         self.digests.add(board.this_member.daemon_id, services)
         everybody = self.interest.choose_interested(services, DIRECT_FANOUT, self.rng)
         # Few peers are told directly. Passing the news on costs several copies for
@@ -248,7 +250,7 @@
         return TargetsUpdate(
             daemon_id=this.daemon_id,
             availability_zone=this.availability_zone,
-            beat=self.beat,
+            heartbeat=self.heartbeat,
             age_ms=age // timedelta(milliseconds=1),
             version=self.version,
             services=tuple(sorted(services)),
@@ -270,7 +272,7 @@
         return TargetsUpdate(
             daemon_id=daemon_id,
             availability_zone=member.availability_zone,
-            beat=holding.beat,
+            heartbeat=holding.heartbeat,
             age_ms=-(-age // timedelta(milliseconds=1)),
             version=holding.held_version,
             services=tuple(sorted(covered)),
@@ -307,7 +309,7 @@
                 rows += self._own_row()
             peer = self.blackboard.members.get(peer_id)
             if rows and peer is not None:
-                digest = Digest(self.beat, tuple(rows))
+                digest = Digest(self.heartbeat, tuple(rows))
                 effects.append(SendToPeer(peer.peer_address, digest))
         return effects
 
@@ -323,8 +325,8 @@
             if holding is None or now - holding.renewed_at >= self.lease:
                 continue
             age = _age_units(now - holding.renewed_at)
-            beat = holding.beat - self.beat
-            rows += (member_reference(name), beat, age, holding.version)
+            heartbeat = holding.heartbeat - self.heartbeat
+            rows += (member_reference(name), heartbeat, age, holding.version)
         return rows
 
     def _pull(self, now: timedelta) -> list[Any]:
--- a/src/wagtailstep/controllers/ejection.py
+++ b/src/wagtailstep/controllers/ejection.py
@@ -109,7 +109,7 @@
         state = self.streams.get(event.stream)
         if state is not None:
             state.live = True
-            state.fresh_until = event.asked_at + timedelta(milliseconds=FRESH_MS)
+            state.fresh_until = event.read_sent_at + timedelta(milliseconds=FRESH_MS)
             state.note_read(self.clock.monotonic())
             self.write_ejected()
         return []
@@ -149,7 +149,7 @@
     def follow_streams(self) -> list[Any]:
         """Follow the streams of services that are served or asked for here."""
         board = self.blackboard
-        services = {*board.this_member.services, *board.wanted_services}
+        services = {*board.this_member.services, *board.requested_services}
         effects = []
         for service in sorted(services):
             stream = ejection_stream(service)
@@ -269,7 +269,7 @@
             return "restarted"
         if held.lease_until <= now:
             return "lapsed"
-        longest = MAX_HOLD_TIMES * away_time(ejection.strikes, BASE_OUT_S)
+        longest = MAX_HOLD_TIMES * away_time(ejection.consecutive_ejections, BASE_OUT_S)
         if now - held.first_read > longest:
             return "held-longest"
         return ""
@@ -285,9 +285,9 @@
         effects: list[Any] = []
         if now >= held.renew_at:
             held.renew_at = now + timedelta(seconds=CLAIM_RETRY_S)
-            reason, strikes = "renewal", ejection.strikes
+            reason, strikes = "renewal", ejection.consecutive_ejections
             effects += self.claim(state, ejection.target_id, reason, strikes)
-        over = held.first_read + away_time(ejection.strikes, BASE_OUT_S)
+        over = held.first_read + away_time(ejection.consecutive_ejections, BASE_OUT_S)
         if now >= over and now >= held.next_probe:
             held.next_probe = now + timedelta(seconds=PROBE_INTERVAL_S)
             timeout = timedelta(milliseconds=PROBE_TIMEOUT_MS)
--- a/src/wagtailstep/controllers/ejection_fold.py
+++ b/src/wagtailstep/controllers/ejection_fold.py
@@ -69,7 +69,7 @@
             claimant=claim.claimant,
             incarnation=claim.incarnation,
             since_offset=since,
-            strikes=claim.strikes,
+            consecutive_ejections=claim.strikes,
         )
         return FoldResult.EJECTED if current is None else FoldResult.RENEWED
 
--- a/src/wagtailstep/controllers/evidence.py
+++ b/src/wagtailstep/controllers/evidence.py
@@ -41,11 +41,11 @@
     EvidenceDigest,
     EvidenceRequest,
     RouteEvidence,
-    SickNotice,
     Symptom,
-    unpack_row,
+    UnhealthyNotice,
+    unpack_evidence,
 )
-from wagtailstep.models.request import Blame, RequestOutcome
+from wagtailstep.models.request import AttemptEnded, Blame
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.models.verdict import Verdict
 from wagtailstep.utils.clock import Clock
@@ -86,7 +86,7 @@
         return []
 
     @handle.register
-    def _(self, event: RequestOutcome) -> list[Any]:
+    def _(self, event: AttemptEnded) -> list[Any]:
         target = self.find_target(event.target_id)
         if target is None:
             return []
@@ -138,7 +138,7 @@
         return []
 
     @take_message.register
-    def _(self, message: SickNotice) -> list[Any]:
+    def _(self, message: UnhealthyNotice) -> list[Any]:
         target = self.find_target(message.target_id)
         if target is None or self.standings.of(message.target_id).avoided:
             return []
@@ -149,10 +149,10 @@
     def _(self, message: EvidenceDigest) -> list[Any]:
         effects = []
         for row in message.answers:
-            entry = unpack_row(message.service, row)
+            entry = unpack_evidence(message.service, row)
             effects += self.take_report(message.daemon_id, entry, True)
         for row in message.alerts:
-            entry = unpack_row(message.service, row)
+            entry = unpack_evidence(message.service, row)
             self.sharing.alert(message.service, entry.target_id)
             effects += self.take_report(message.daemon_id, entry, False)
         return effects
@@ -186,7 +186,7 @@
         target.complaints[reporter] = now
         return self.judge(target)
 
-    def take_outcome(self, target: TargetEvidence, outcome: RequestOutcome) -> list:
+    def take_outcome(self, target: TargetEvidence, outcome: AttemptEnded) -> list:
         """Count an outcome that speaks for or against the backend server."""
         now = self.clock.monotonic()
         service = self.services[target.service]
@@ -208,7 +208,7 @@
         self,
         service: ServiceEvidence,
         target: TargetEvidence,
-        outcome: RequestOutcome,
+        outcome: AttemptEnded,
         latency: timedelta,
         failed: bool,
     ) -> bool | None:
@@ -312,7 +312,7 @@
         )
         if known or target.target_id in self.blackboard.ejected:
             return []
-        notice = SickNotice(
+        notice = UnhealthyNotice(
             daemon_id=self.blackboard.this_member.daemon_id,
             service=target.service,
             target_id=target.target_id,
--- a/src/wagtailstep/controllers/evidence_sharing.py
+++ b/src/wagtailstep/controllers/evidence_sharing.py
@@ -31,9 +31,9 @@
     EvidenceRequest,
     EvidenceRow,
     RouteEvidence,
-    SickNotice,
     Symptom,
-    pack_entry,
+    UnhealthyNotice,
+    pack_evidence,
 )
 from wagtailstep.models.fleet import Member, MemberState
 from wagtailstep.utils.codec import encode_message
@@ -200,7 +200,7 @@
         for target in [service.targets[n] for n in names if n in service.targets]:
             asked = sharing.asked_until.get(target.target_id, now) > now
             for entry in take_entries(target, asked):
-                (answers if asked else alerts).append(pack_entry(entry))
+                (answers if asked else alerts).append(pack_evidence(entry))
         if not answers and not alerts:
             return None
         return EvidenceDigest(
@@ -233,7 +233,7 @@
         members = self.rng.sample(sharing.members, count)
         return self.send(members, request, now)
 
-    def notify(self, notice: SickNotice, now: timedelta) -> list[SendToPeer]:
+    def notify(self, notice: UnhealthyNotice, now: timedelta) -> list[SendToPeer]:
         """Tell the other daemons that a target is sick."""
         sharing = self.sharing_of(notice.service)
         members = self.refresh(sharing, notice.service, now).members
@@ -242,7 +242,7 @@
     def send(
         self,
         members: Iterable[Member],
-        message: EvidenceDigest | EvidenceRequest | SickNotice,
+        message: EvidenceDigest | EvidenceRequest | UnhealthyNotice,
         now: timedelta,
         urgent: bool = False,
     ) -> list[SendToPeer]:
--- a/src/wagtailstep/controllers/gate.py
+++ b/src/wagtailstep/controllers/gate.py
@@ -29,15 +29,15 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.fleet import Target, TargetStanding, TargetState
 from wagtailstep.models.gate import (
-    AttemptRevoked,
+    AttemptRevocationRequested,
     GateRequest,
     GateRequestAbandoned,
     GateRequestArrived,
     GateRequestEnded,
     RefuseRequest,
+    ReportAttemptState,
     RunResult,
     StartRequest,
-    TellAttemptState,
 )
 from wagtailstep.models.request import Blame
 from wagtailstep.models.settings import DaemonSettings
@@ -132,9 +132,9 @@
         return []
 
     @handle.register
-    def revoke(self, event: AttemptRevoked) -> list[Any]:
+    def revoke(self, event: AttemptRevocationRequested) -> list[Any]:
         """Bar an attempt that has not arrived, and tell what became of it."""
-        return [TellAttemptState(self.memory.revoke(event.attempt_id))]
+        return [ReportAttemptState(self.memory.revoke(event.attempt_id))]
 
     def find_refusal(self, request: GateRequest) -> RequestError | None:
         """Return why a request can't be taken, or ``None``."""
@@ -164,7 +164,7 @@
         News of a standing takes a moment, and a backend server that fails at once
         always has slots free.
         """
-        if target.standing <= request.chosen_standing:
+        if target.standing <= request.expected_standing:
             return False
         limit = TargetStanding.FAILING if request.idempotent else TargetStanding.DOUBTED
         return target.standing >= limit
@@ -201,12 +201,12 @@
         With more work than slots a longer queue makes all answers late and serves no
         more of them.
         """
-        if request.aim_at is None:
+        if request.aim_deadline is None:
             return False
         if starts_at - self.clock.monotonic() <= SHORT_WAIT:
             return False
         reserve = RESERVED_TIMES * queue.time_of(request)
-        return starts_at + reserve > request.aim_at
+        return starts_at + reserve > request.aim_deadline
 
     def count_waiting(self) -> dict[str, int]:
         """Return how many requests wait for a slot, by service."""
--- a/src/wagtailstep/controllers/guard.py
+++ b/src/wagtailstep/controllers/guard.py
@@ -19,7 +19,7 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.claims import STREAM_PREFIX, digest_key
 from wagtailstep.models.events import (
-    LogAppendSettled,
+    LogAppendFinished,
     LogGap,
     LogRecordsRead,
     Tick,
@@ -83,7 +83,7 @@
         return claims.skip_gap(event.oldest_offset) if claims is not None else []
 
     @handle.register
-    def _(self, event: LogAppendSettled) -> list[Any]:
+    def _(self, event: LogAppendFinished) -> list[Any]:
         for claims in self.claims_by_service.values():
             if claims.appender.append_id == event.append_id:
                 return claims.settle_append(event)
--- a/src/wagtailstep/controllers/health.py
+++ b/src/wagtailstep/controllers/health.py
@@ -66,7 +66,7 @@
         self.blackboard.health[target.target_id] = TargetHealth(
             penalty=1.0 + PENALTY_PER_THRESHOLD * max(0.0, doubt - PENALTY_FREE_SHARE),
             latency=None if latency is None else timedelta(seconds=latency),
-            steer_away=standing.avoided,
+            avoided=standing.avoided,
             ramp=standing.ramp(now),
         )
 
--- a/src/wagtailstep/controllers/interest.py
+++ b/src/wagtailstep/controllers/interest.py
@@ -39,7 +39,7 @@
         """
         board = self.blackboard
         local = board.local_services
-        services = frozenset(local | board.wanted_services)
+        services = frozenset(local | board.requested_services)
         if services == self.services and now < self.rebuild_at:
             return False
         self.services = services
--- a/src/wagtailstep/controllers/member_contacts.py
+++ b/src/wagtailstep/controllers/member_contacts.py
@@ -11,7 +11,7 @@
 from wagtailstep.models.events import (
     AppendToLog,
     ListMembers,
-    LogAppendSettled,
+    LogAppendFinished,
     RegisterMember,
     SendToPeer,
 )
@@ -152,7 +152,7 @@
         expected = self.page_after if self.reading else ""
         if page.start == expected:
             self._read_on(address, page.after, now)
-        self.catch_up(address, page.known, now, table)
+        self.catch_up(address, page.known_count, now, table)
 
     def catch_up(
         self, address: str, known: int, now: timedelta, table: MemberTable
@@ -179,7 +179,7 @@
         self.page_source = address
         self.page_at = now + timedelta(milliseconds=PAGE_INTERVAL_MS)
 
-    def settle_append(self, event: LogAppendSettled, now: timedelta) -> None:
+    def settle_append(self, event: LogAppendFinished, now: timedelta) -> None:
         """Take the end of an append to the stream of members."""
         if event.append_id != self.append_id:
             return
--- a/src/wagtailstep/controllers/member_updates.py
+++ b/src/wagtailstep/controllers/member_updates.py
@@ -5,7 +5,7 @@
 import attrs
 
 from wagtailstep.models.fleet import Member, MemberState
-from wagtailstep.models.membership import MemberChange, MemberEntry, Updates
+from wagtailstep.models.membership import MemberChange, MemberEntry, MemberUpdates
 
 UPDATES_BYTES_PER_MESSAGE = 1_000
 CHANGE_OVERHEAD_BYTES = 13
@@ -48,13 +48,13 @@
         """Forget all news that is waiting."""
         self.pending.clear()
 
-    def take(self, exclude: str = "") -> Updates:
+    def take(self, exclude: str = "") -> MemberUpdates:
         """Return the news for one message: urgent first, then the least sent.
 
         :param exclude: member that the message goes to; it knows its own news.
         """
         if not self.pending:
-            return Updates()
+            return MemberUpdates()
         entries: list[MemberEntry] = []
         changes: list[MemberChange] = []
         size = 0
@@ -74,7 +74,7 @@
             else:
                 changes.append(MemberChange.from_member(member))
             self._count(daemon_id, update)
-        return Updates(tuple(entries), tuple(changes))
+        return MemberUpdates(tuple(entries), tuple(changes))
 
     def _order(self) -> list[str]:
         return sorted(
--- a/src/wagtailstep/controllers/membership.py
+++ b/src/wagtailstep/controllers/membership.py
@@ -14,7 +14,7 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import (
     FollowStream,
-    LogAppendSettled,
+    LogAppendFinished,
     LogRecordsRead,
     MemberRegistered,
     MembersListed,
@@ -31,9 +31,9 @@
     MemberEntry,
     MembersPage,
     MembersRequest,
+    MemberUpdates,
     Ping,
     PingRequest,
-    Updates,
 )
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.utils.clock import Clock
@@ -121,7 +121,7 @@
         return []
 
     @handle.register
-    def _(self, event: LogAppendSettled) -> list[Any]:
+    def _(self, event: LogAppendFinished) -> list[Any]:
         self.contacts.settle_append(event, self.clock.monotonic())
         return []
 
@@ -154,7 +154,7 @@
         source = self.blackboard.members.get(sender)
         if source is not None:
             address = source.peer_address
-            self.contacts.catch_up(address, message.known, now, self.table)
+            self.contacts.catch_up(address, message.known_count, now, self.table)
         if message.sequence in self.prober.relays:
             updates = self._updates_for("")
             effects.append(self.prober.pass_on(message.sequence, updates))
@@ -168,7 +168,7 @@
 
     @_receive.register
     def _(self, message: MembersRequest, sender: str) -> list[Any]:
-        effects = self._merge(Updates(entries=(message.requester,)))
+        effects = self._merge(MemberUpdates(entries=(message.requester,)))
         page = self._make_page(message.after, sender)
         address = message.requester.peer_address
         if sender in self.table.buried:
@@ -178,7 +178,7 @@
     @_receive.register
     def _(self, message: MembersPage, sender: str) -> list[Any]:
         # Each daemon reads the pages for itself, so they are not passed on.
-        effects = self._merge(Updates(entries=message.entries), spread=False)
+        effects = self._merge(MemberUpdates(entries=message.entries), spread=False)
         source = self.blackboard.members.get(sender)
         if source is not None:
             now = self.clock.monotonic()
@@ -202,14 +202,14 @@
         address = self.blackboard.this_member.peer_address
         return Ping(self.prober.sequence, address, self._updates_for(receiver))
 
-    def _updates_for(self, receiver: str) -> Updates:
+    def _updates_for(self, receiver: str) -> MemberUpdates:
         updates = self.updates.take(receiver)
         change = self.table.find_doubt(receiver)
         if change is None:
             return updates
-        return Updates(updates.entries, (*updates.changes, change))
+        return MemberUpdates(updates.entries, (*updates.changes, change))
 
-    def _merge(self, updates: Updates, spread: bool = True) -> list[Any]:
+    def _merge(self, updates: MemberUpdates, spread: bool = True) -> list[Any]:
         effects: list[Any] = []
         for entry in updates.entries:
             effects += self._merge_entry(entry, spread)
@@ -326,7 +326,7 @@
             return []
         self.services_at = now + timedelta(milliseconds=SERVICES_UPDATE_MS)
         serves = tuple(sorted(local))
-        services = serves + tuple(sorted(board.wanted_services - local))
+        services = serves + tuple(sorted(board.requested_services - local))
         changed = attrs.evolve(this, services=services, serves=serves, state=state)
         if changed == this:
             return []
--- a/src/wagtailstep/controllers/path_watch.py
+++ b/src/wagtailstep/controllers/path_watch.py
@@ -12,9 +12,9 @@
 import attrs
 
 from wagtailstep.models.blackboard import Blackboard
-from wagtailstep.models.events import GateSilent, RecordEvent, Tick
+from wagtailstep.models.events import GateUnresponsive, RecordEvent, Tick
 from wagtailstep.models.fleet import TargetHealth
-from wagtailstep.models.request import Blame, RequestOutcome
+from wagtailstep.models.request import AttemptEnded, Blame
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.models.verdict import Verdict
 from wagtailstep.utils.clock import Clock
@@ -77,7 +77,7 @@
         return []
 
     @handle.register
-    def _(self, event: RequestOutcome) -> list[Any]:
+    def _(self, event: AttemptEnded) -> list[Any]:
         if event.target_id not in self.blackboard.targets:
             return []
         if event.blame is Blame.PATH:
@@ -91,7 +91,7 @@
         return []
 
     @handle.register
-    def _(self, event: GateSilent) -> list[Any]:
+    def _(self, event: GateUnresponsive) -> list[Any]:
         effects: list[Any] = []
         for target_id, target in self.blackboard.targets.items():
             member = self.blackboard.members.get(target.daemon_id)
@@ -126,5 +126,5 @@
     def write(self, target_id: str, path: Path) -> None:
         """Write the judgement of a path to the blackboard."""
         self.blackboard.health[target_id] = TargetHealth(
-            latency=path.latency, steer_away=path.avoided_until is not None
+            latency=path.latency, avoided=path.avoided_until is not None
         )
--- a/src/wagtailstep/controllers/probing.py
+++ b/src/wagtailstep/controllers/probing.py
@@ -7,7 +7,7 @@
 
 from wagtailstep.models.events import SendToPeer
 from wagtailstep.models.fleet import Member, MemberState
-from wagtailstep.models.membership import Ack, Ping, PingRequest, Updates
+from wagtailstep.models.membership import Ack, MemberUpdates, Ping, PingRequest
 from wagtailstep.models.settings import MembershipSettings
 
 RELAY_TIMEOUT_MS = 2_000
@@ -86,7 +86,7 @@
             self.probe = Probe(self.sequence, member.daemon_id, now)
         return member
 
-    def make_ping(self, member: Member, updates: Updates) -> SendToPeer:
+    def make_ping(self, member: Member, updates: MemberUpdates) -> SendToPeer:
         """Return the ping of the probe that was just started."""
         ping = Ping(self.sequence, self.address, updates)
         return SendToPeer(member.peer_address, ping)
@@ -126,7 +126,7 @@
         self.probe = None
         return probe.daemon_id
 
-    def pass_on(self, sequence: int, updates: Updates) -> SendToPeer:
+    def pass_on(self, sequence: int, updates: MemberUpdates) -> SendToPeer:
         """Pass an answer on to the daemon that asked for the ping.
 
         :raises KeyError: if ``sequence`` is not in ``relays``.
@@ -135,7 +135,7 @@
         return SendToPeer(relay.reply_to, Ack(relay.sequence, updates=updates))
 
     def relay(
-        self, request: PingRequest, updates: Updates, now: timedelta
+        self, request: PingRequest, updates: MemberUpdates, now: timedelta
     ) -> SendToPeer:
         """Ping a daemon for another one."""
         self._expire_relays(now)
--- a/src/wagtailstep/controllers/published_table.py
+++ b/src/wagtailstep/controllers/published_table.py
@@ -34,7 +34,7 @@
     """Keep the newest published table in force.
 
     :param blackboard: ``table``, ``table_known``, ``table_since`` and
-        ``wanted_services`` are written.
+        ``requested_services`` are written.
     :param read_document: reads a document; it raises
         :class:`wagtailstep.exceptions.DecodeError` if that can't be done.
     """
@@ -138,4 +138,4 @@
         board.table_since = self.clock.utc()
         services = table.host_routes.services()
         if len(services) <= MAX_PREFETCHED_SERVICES:
-            board.wanted_services |= services
+            board.requested_services |= services
--- a/src/wagtailstep/controllers/routing.py
+++ b/src/wagtailstep/controllers/routing.py
@@ -257,7 +257,7 @@
         if target_id in board.ejected or not self.has_gate(target):
             return False
         health = board.health.get(target_id, _IN_GOOD_STANDING)
-        same_standing = health.steer_away == candidate.steered
+        same_standing = health.avoided == candidate.steered
         return same_standing and board.table.weight(target_id) == candidate.weight
 
     def find_candidates(self, service: str) -> list[Candidate]:
@@ -272,7 +272,7 @@
                 continue
             health = board.health.get(target_id, _IN_GOOD_STANDING)
             share = weight * max(health.ramp, MIN_RAMP)
-            steered = health.steer_away
+            steered = health.avoided
             found.append(Candidate(target, weight, share, health, steered))
         return found
 
--- a/src/wagtailstep/controllers/runs.py
+++ b/src/wagtailstep/controllers/runs.py
@@ -13,7 +13,7 @@
     Refuse,
     Replay,
     RequestDecided,
-    RunHere,
+    RunLocally,
     StoredAnswer,
     Wait,
 )
@@ -104,7 +104,7 @@
         if run.state is RunState.READY:
             run.state = RunState.RUNNING
             run.fingerprint = fingerprint
-            return RunHere(run.run_id)
+            return RunLocally(run.run_id)
         if run.state is RunState.RUNNING:
             run.waiting.append(request_id)
             return Wait()
--- a/src/wagtailstep/controllers/table.py
+++ b/src/wagtailstep/controllers/table.py
@@ -17,7 +17,7 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import (
     FollowStream,
-    LogAppendSettled,
+    LogAppendFinished,
     LogCaughtUp,
     LogGap,
     LogRecordsRead,
@@ -145,7 +145,7 @@
         return [RecordEvent("table-log-gap", fields)]
 
     @handle.register
-    def _(self, event: LogAppendSettled) -> list[Any]:
+    def _(self, event: LogAppendFinished) -> list[Any]:
         return list(self.writer.settle(event))
 
     @handle.register
@@ -207,7 +207,7 @@
         before = self.reader.position
         outcomes: list[EditOutcome] = []
         for record in records:
-            outcomes += self.reader.read_log(record)
+            outcomes += self.reader.apply_log_record(record)
         return self.note_progress(before, outcomes)
 
     def hold_records(self, records: list[LogRecord]) -> list[Any]:
@@ -255,7 +255,7 @@
             return effects
         outcomes: list[EditOutcome] = []
         for record in records:
-            outcomes += self.reader.offer(record)
+            outcomes += self.reader.apply_record(record)
             if not record.data:
                 self.writer.put_off()
         effects += self.note_progress(before, outcomes)
@@ -269,7 +269,7 @@
         fold = self.reader.fold
         if fold is None or digest.position < 0:
             return []
-        mine = fold.hash_at(digest.version)
+        mine = fold.content_hash_at(digest.version)
         if mine is None or mine == digest.content_hash:
             return []
         fields = {"other": sender, "version": str(digest.version)}
@@ -284,8 +284,8 @@
 
     def note_progress(self, before: int, outcomes: list[EditOutcome]) -> list[Any]:
         """Report decided edits and the version that is in force now."""
-        effects: list[Any] = list(self.writer.note_seen(self.reader.seen))
-        self.reader.seen.clear()
+        effects: list[Any] = list(self.writer.note_seen(self.reader.checked_snapshots))
+        self.reader.checked_snapshots.clear()
         if self.reader.fold is not None:
             self.writer.note_edits(self.reader.fold)
         if self.blackboard.table_known:
--- a/src/wagtailstep/controllers/table_snapshots.py
+++ b/src/wagtailstep/controllers/table_snapshots.py
@@ -6,11 +6,11 @@
 
 import attrs
 
-from wagtailstep.models.events import AppendToLog, LogAppendSettled, RecordEvent
+from wagtailstep.models.events import AppendToLog, LogAppendFinished, RecordEvent
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.models.table_edits import TABLE_STREAM, TableSnapshotPart
 from wagtailstep.models.table_fold import TableFold
-from wagtailstep.models.table_reader import SeenSnapshot
+from wagtailstep.models.table_reader import CheckedSnapshot
 from wagtailstep.models.table_snapshot import split_snapshot
 from wagtailstep.utils.clock import Clock
 from wagtailstep.utils.ids import make_id
@@ -61,7 +61,7 @@
         """Draw another time, since a member has seen a snapshot in the log."""
         self.due_at = None
 
-    def note_seen(self, snapshots: Iterable[SeenSnapshot]) -> list[RecordEvent]:
+    def note_seen(self, snapshots: Iterable[CheckedSnapshot]) -> list[RecordEvent]:
         """Put off the next snapshot after a right one, and report wrong ones."""
         events: list[RecordEvent] = []
         for seen in snapshots:
@@ -115,7 +115,7 @@
         self.append_id = f"{part.snapshot_id}-{part.index}"
         return [AppendToLog(TABLE_STREAM, part, self.append_id)]
 
-    def settle(self, event: LogAppendSettled) -> list[AppendToLog]:
+    def settle(self, event: LogAppendFinished) -> list[AppendToLog]:
         """Go on with the next part, or draw a new time at the end or on failure."""
         if event.append_id != self.append_id:
             return []
--- a/src/wagtailstep/controllers/target_judge.py
+++ b/src/wagtailstep/controllers/target_judge.py
@@ -19,10 +19,10 @@
 from wagtailstep.models.fleet import TargetStanding
 from wagtailstep.models.gate import (
     LocalCallFailed,
+    ResponseWaitEnded,
     WorkEnded,
     WorkResult,
     WorkStarted,
-    WorkStopped,
 )
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.utils.clock import Clock
@@ -149,7 +149,7 @@
         return []
 
     @handle.register
-    def _(self, event: WorkStopped) -> list[Any]:
+    def _(self, event: ResponseWaitEnded) -> list[Any]:
         self.running.pop(event.serial, None)
         return []
 
@@ -191,7 +191,7 @@
         usual_s = self.average_s.get(event.route)
         if usual_s is None:
             return True
-        return event.took < timedelta(seconds=usual_s * HURRIED_FACTOR)
+        return event.duration < timedelta(seconds=usual_s * HURRIED_FACTOR)
 
     def take_failed_call(self) -> bool:
         """Tell whether a failure follows from that of a call that was needed for it."""
@@ -205,7 +205,7 @@
 
     def learn_time(self, event: WorkEnded) -> None:
         """Follow the usual time of a route."""
-        seconds = event.took.total_seconds()
+        seconds = event.duration.total_seconds()
         average_s = self.average_s.get(event.route, seconds)
         self.average_s[event.route] = average_s + AVERAGE_WEIGHT * (seconds - average_s)
 
--- a/src/wagtailstep/controllers/target_leases.py
+++ b/src/wagtailstep/controllers/target_leases.py
@@ -15,7 +15,7 @@
 class Holding:
     """Targets beside one other daemon, and their common lease.
 
-    :param beat: newest heartbeat heard of the daemon.
+    :param heartbeat: newest heartbeat heard of the daemon.
     :param renewed_at: monotonic time at which that heartbeat was made, as far as
         the ages on its way tell.
     :param version: version of its targets that the newest heartbeat names.
@@ -26,7 +26,7 @@
     :param published: whether ``targets`` are on the blackboard.
     """
 
-    beat: int
+    heartbeat: int
     renewed_at: timedelta
     version: int
     held_version: int = -1
@@ -67,21 +67,21 @@
         self.last_beats: dict[str, int] = {}
 
     def renew(
-        self, daemon_id: str, beat: int, made_at: timedelta, version: int
+        self, daemon_id: str, heartbeat: int, made_at: timedelta, version: int
     ) -> bool:
         """Take a heartbeat.
 
         :param made_at: monotonic time at which it was made.
         :return: whether it is newer than all heard before.
         """
-        if beat <= self.last_beats.get(daemon_id, -1):
+        if heartbeat <= self.last_beats.get(daemon_id, -1):
             return False
-        self._remember(daemon_id, beat)
+        self._remember(daemon_id, heartbeat)
         holding = self.holdings.get(daemon_id)
         if holding is None:
-            self.holdings[daemon_id] = Holding(beat, made_at, version)
+            self.holdings[daemon_id] = Holding(heartbeat, made_at, version)
             return True
-        holding.beat = beat
+        holding.heartbeat = heartbeat
         holding.version = version
         holding.renewed_at = max(holding.renewed_at, made_at)
         if not holding.published and holding.held_version == version:
@@ -99,7 +99,7 @@
             for entry in update.targets
         )
         made_at = now - timedelta(milliseconds=update.age_ms)
-        self.renew(update.daemon_id, update.beat, made_at, update.version)
+        self.renew(update.daemon_id, update.heartbeat, made_at, update.version)
         holding = self.holdings.get(update.daemon_id)
         if holding is None or not self._adds(update, holding):
             return False
@@ -111,14 +111,14 @@
         self._withdraw(holding)
         holding.targets = targets + others
         holding.held_version = update.version
-        holding.held_beat = update.beat
+        holding.held_beat = update.heartbeat
         holding.services = covered
         if now - holding.renewed_at < self.lease:
             self._publish(holding)
         return True
 
     def _adds(self, update: TargetsUpdate, holding: Holding) -> bool:
-        if update.beat < holding.held_beat:
+        if update.heartbeat < holding.held_beat:
             return False
         if update.version != holding.held_version:
             return True
@@ -143,11 +143,11 @@
         if holding is not None:
             self._withdraw(holding)
 
-    def _remember(self, daemon_id: str, beat: int) -> None:
+    def _remember(self, daemon_id: str, heartbeat: int) -> None:
         if daemon_id not in self.last_beats:
             while len(self.last_beats) >= MAX_REMEMBERED_BEATS:
                 del self.last_beats[next(iter(self.last_beats))]
-        self.last_beats[daemon_id] = beat
+        self.last_beats[daemon_id] = heartbeat
 
     def _publish(self, holding: Holding) -> None:
         for target in holding.targets:
--- a/src/wagtailstep/controllers/target_queue.py
+++ b/src/wagtailstep/controllers/target_queue.py
@@ -103,6 +103,6 @@
     Requests whose use ends soon are mostly short ones. If they go first, more are
     answered than in order of arrival; others only wait until their time has come.
     """
-    useful_until = request.aim_at or request.deadline
+    useful_until = request.aim_deadline or request.deadline
     useful_for = useful_until - request.arrived_at
     return request.priority, request.arrived_at + DUE_SHARE * useful_for
--- a/src/wagtailstep/controllers/tickets.py
+++ b/src/wagtailstep/controllers/tickets.py
@@ -15,7 +15,7 @@
 from wagtailstep.exceptions import BadRequestError, LeavingError
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.fleet import MemberState
-from wagtailstep.models.idempotency import Decision, PassOn, Refuse, Ticket
+from wagtailstep.models.idempotency import Decision, Refuse, RelayToDaemon, Ticket
 from wagtailstep.models.request import RequestContext
 from wagtailstep.models.settings import RequestSettings
 from wagtailstep.utils.clock import Clock
@@ -106,7 +106,7 @@
         issuer = self.blackboard.members.get(ticket.daemon_id)
         if issuer is None or issuer.state in _GONE:
             return Refuse(make_unknown_error("the issuer of its ticket is gone"))
-        return PassOn(ticket.daemon_id)
+        return RelayToDaemon(ticket.daemon_id)
 
     def decide_own(
         self, ticket: Ticket, request: RequestContext, fingerprint: str
--- a/src/wagtailstep/controllers/wanted.py
+++ b/src/wagtailstep/controllers/wanted.py
@@ -27,7 +27,7 @@
 
 
 class WantedServices:
-    """Keep ``blackboard.wanted_services`` bounded and up to date."""
+    """Keep ``blackboard.requested_services`` bounded and up to date."""
 
     def __init__(self, blackboard: Blackboard, clock: Clock) -> None:
         self.blackboard = blackboard
@@ -51,7 +51,7 @@
                 f"serves {MAX_WANTED_SERVICES} services; come back later"
             )
         self.by_name[service] = WantedService(now, now)
-        self.blackboard.wanted_services.add(service)
+        self.blackboard.requested_services.add(service)
 
     def expire(self) -> None:
         """Drop services that nobody asked for lately."""
@@ -61,7 +61,7 @@
             if wanted.last >= oldest_kept:
                 return
             del self.by_name[service]
-            self.blackboard.wanted_services.discard(service)
+            self.blackboard.requested_services.discard(service)
 
     def is_being_discovered(self, service: str) -> bool:
         """Tell whether the targets of a service may get known any moment.
--- a/src/wagtailstep/exceptions.py
+++ b/src/wagtailstep/exceptions.py
@@ -5,7 +5,7 @@
 from wagtailstep.models.request import Blame
 from wagtailstep.models.verdict import Verdict
 
-COME_BACK = timedelta(seconds=1)
+TEMPORARY_REFUSAL_RETRY_AFTER = timedelta(seconds=1)
 
 
 class WagtailstepError(Exception):
@@ -74,7 +74,7 @@
             self.status = status
 
     @property
-    def counts_as_sent(self) -> bool:
+    def may_have_been_received(self) -> bool:
         """Tell whether a backend server may have got the request."""
         return self.reached_server or self.verdict is not Verdict.NOT_RUN
 
@@ -124,34 +124,36 @@
     reached_server = True
 
 
-class RefusedForNowError(RequestError):
+class TemporaryRefusalError(RequestError):
     """The request was refused before it ran, and may be welcome in a second."""
 
     status = 503
 
     def __init__(self, message: str) -> None:
-        super().__init__(message, Verdict.NOT_RUN, retry_after=COME_BACK)
+        super().__init__(
+            message, Verdict.NOT_RUN, retry_after=TEMPORARY_REFUSAL_RETRY_AFTER
+        )
 
 
-class LeavingError(RefusedForNowError):
+class LeavingError(TemporaryRefusalError):
     """The backend server or daemon is leaving and takes no new request."""
 
     reason = "leaving"
 
 
-class NotReadyError(RefusedForNowError):
+class NotReadyError(TemporaryRefusalError):
     """This daemon has just started and takes no request yet."""
 
     reason = "not-ready"
 
 
-class NoTargetError(RefusedForNowError):
+class NoTargetError(TemporaryRefusalError):
     """No backend server of the service can take the request now."""
 
     reason = "no-target"
 
 
-class DoubtedTargetError(RefusedForNowError):
+class DoubtedTargetError(TemporaryRefusalError):
     """The gate has come to doubt the backend server since the entry chose it."""
 
     reason = "doubted"
@@ -219,9 +221,9 @@
 class TableConflictError(TableError):
     """Another edit changed the same row first.
 
-    :param winner: identifier of the edit that was accepted before this one.
+    :param conflicting_edit_id: identifier of the edit accepted before this one.
     """
 
-    def __init__(self, message: str, winner: str) -> None:
+    def __init__(self, message: str, conflicting_edit_id: str) -> None:
         super().__init__(message)
-        self.winner = winner
+        self.conflicting_edit_id = conflicting_edit_id
--- a/src/wagtailstep/fakes/control_bus.py
+++ b/src/wagtailstep/fakes/control_bus.py
@@ -16,7 +16,7 @@
     AppendToLog,
     Controller,
     FollowStream,
-    LogAppendSettled,
+    LogAppendFinished,
     LogRecordsRead,
     PeerMessageReceived,
     RecordEvent,
@@ -144,7 +144,7 @@
     def _build(
         self, settings: DaemonSettings, board: Blackboard, wanted: Sequence[str]
     ) -> BusNode:
-        board.wanted_services.update(wanted)
+        board.requested_services.update(wanted)
         rng = random.Random(self.rng.random())
         arguments = (settings, board, self.clock, rng)
         kinds = (MembershipController, DisseminationController, AnnouncementController)
@@ -212,7 +212,7 @@
         if not self.log_away:
             offset = len(self.log)
             self.log.append(LogRecord(offset, encode_message(effect.record)))
-        settled = LogAppendSettled(effect.append_id, offset, may_have_applied=False)
+        settled = LogAppendFinished(effect.append_id, offset, may_have_applied=False)
         self._schedule(timedelta(milliseconds=1), node, settled)
 
     def _read_log(self, node: BusNode) -> None:
--- a/src/wagtailstep/models/blackboard.py
+++ b/src/wagtailstep/models/blackboard.py
@@ -47,7 +47,7 @@
         against, by ``target_id``; written by the evidence controller.
     :param ejected: ``target_id`` of targets out of service fleet-wide; written by
         the ejection controller, from the log's order.
-    :param wanted_services: services that callers asked this daemon for; written
+    :param requested_services: services that callers asked this daemon for; written
         by the routing controller.
     :param in_flight: written by the routing controller.
     :param calls_per_run: calls that the backend server beside this daemon makes for
@@ -68,7 +68,7 @@
     health: dict[str, TargetHealth] = attrs.field(factory=dict)
     ejection_candidates: dict[str, EjectionCandidate] = attrs.field(factory=dict)
     ejected: set[str] = attrs.field(factory=set)
-    wanted_services: set[str] = attrs.field(factory=set)
+    requested_services: set[str] = attrs.field(factory=set)
     in_flight: InFlight = attrs.field(factory=InFlight)
     calls_per_run: dict[str, dict[str, float]] = attrs.field(factory=dict)
     call_refused_at: timedelta | None = None
--- a/src/wagtailstep/models/claims.py
+++ b/src/wagtailstep/models/claims.py
@@ -56,7 +56,7 @@
     expires: timedelta
 
 
-def name_stream(service: str) -> str:
+def claim_stream(service: str) -> str:
     """Return the name of the log stream with a service's claims."""
     return f"{STREAM_PREFIX}{service}"
 
--- a/src/wagtailstep/models/ejection.py
+++ b/src/wagtailstep/models/ejection.py
@@ -84,4 +84,4 @@
     claimant: str
     incarnation: int
     since_offset: int
-    strikes: int
+    consecutive_ejections: int
--- a/src/wagtailstep/models/events.py
+++ b/src/wagtailstep/models/events.py
@@ -68,11 +68,11 @@
 
     stream: str
     next_offset: int
-    asked_at: timedelta
+    read_sent_at: timedelta
 
 
 @attrs.frozen
-class LogAppendSettled:
+class LogAppendFinished:
     """An :class:`AppendToLog` effect has ended.
 
     :param append_id: as in the effect.
@@ -102,7 +102,7 @@
     """
 
     target: Target
-    born: int = 0
+    process_started: int = 0
     sequence: int = 0
 
 
@@ -124,11 +124,11 @@
 
     instance_id: str
     service: str
-    at: int
+    left_at: int
 
 
 @attrs.frozen
-class GateSilent:
+class GateUnresponsive:
     """A gate could not be reached to ask about a request that it was sent.
 
     :param gate_address: ``host:port`` of the gate.
@@ -204,7 +204,7 @@
 
 @attrs.frozen
 class AppendToLog:
-    """Effect: append one record to a stream; ends in :class:`LogAppendSettled`.
+    """Effect: append one record to a stream; ends in :class:`LogAppendFinished`.
 
     :param append_id: unique identifier for the answer.
     """
--- a/src/wagtailstep/models/evidence.py
+++ b/src/wagtailstep/models/evidence.py
@@ -2,6 +2,7 @@
 
 import enum
 from datetime import timedelta
+from typing import ClassVar
 
 import attrs
 
@@ -64,14 +65,14 @@
     alerts: tuple[EvidenceRow, ...] = ()
 
 
-def pack_entry(entry: RouteEvidence) -> EvidenceRow:
+def pack_evidence(entry: RouteEvidence) -> EvidenceRow:
     """Return the row of an entry."""
     _, _, name = entry.target_id.partition("/")
     _, *rest = attrs.astuple(entry)
     return (name, *rest)
 
 
-def unpack_row(service: str, row: EvidenceRow) -> RouteEvidence:
+def unpack_evidence(service: str, row: EvidenceRow) -> RouteEvidence:
     """Return the entry of a row."""
     name, *rest = row
     return RouteEvidence(f"{service}/{name}", *rest)
@@ -112,7 +113,7 @@
 
 @message
 @attrs.frozen
-class SickNotice:
+class UnhealthyNotice:
     """Tell that the evidence of several daemons speaks against a target.
 
     :param daemon_id: the collector that judged it.
@@ -122,6 +123,8 @@
     :param route: the route that shows it.
     """
 
+    wire_name: ClassVar[str] = "SickNotice"
+
     daemon_id: str
     service: str
     target_id: str
--- a/src/wagtailstep/models/exchange.py
+++ b/src/wagtailstep/models/exchange.py
@@ -32,7 +32,7 @@
     path: str
     headers: Headers
     body: AsyncIterator[bytes]
-    peer: str = ""
+    caller_ip: str = ""
 
 
 @attrs.define
--- a/src/wagtailstep/models/fleet.py
+++ b/src/wagtailstep/models/fleet.py
@@ -105,11 +105,11 @@
     :param penalty: factor of at least 1 on the cost of picking the target; 1 is
         a target in good standing.
     :param latency: typical time to a whole answer; ``None`` before the first one.
-    :param steer_away: whether local picks avoid it, as far as the floor permits.
+    :param avoided: whether local picks avoid it, as far as the floor permits.
     :param ramp: share of its weight in use during slow start, from 0 to 1.
     """
 
     penalty: float = 1.0
     latency: timedelta | None = None
-    steer_away: bool = False
+    avoided: bool = False
     ramp: float = 1.0
--- a/src/wagtailstep/models/gate.py
+++ b/src/wagtailstep/models/gate.py
@@ -21,11 +21,11 @@
     :param idempotent: whether running it twice does no harm.
     :param deadline: monotonic time when it must have ended.
     :param priority: rank among waiting requests; 0 goes first.
-    :param aim_at: monotonic time until which an answer is of full use, if known.
+    :param aim_deadline: monotonic time until which an answer is of full use, if known.
     :param arrived_at: monotonic time when it arrived at the gate.
     :param may_wait: whether it may wait for a slot for longer than a moment; else it
         is refused.
-    :param chosen_standing: standing of the backend server as the entry knew it.
+    :param expected_standing: standing of the backend server as the entry knew it.
     """
 
     serial: int
@@ -36,10 +36,10 @@
     idempotent: bool
     deadline: timedelta
     priority: int = 0
-    aim_at: timedelta | None = None
+    aim_deadline: timedelta | None = None
     arrived_at: timedelta = timedelta()
     may_wait: bool = True
-    chosen_standing: TargetStanding = TargetStanding.FAILING
+    expected_standing: TargetStanding = TargetStanding.FAILING
 
 
 class RunResult(enum.Enum):
@@ -100,15 +100,15 @@
 
 
 @attrs.frozen
-class AttemptRevoked:
+class AttemptRevocationRequested:
     """An entry has heard nothing of an attempt and asks to bar it."""
 
     attempt_id: str
 
 
 @attrs.frozen
-class TellAttemptState:
-    """Effect: the answer to :class:`AttemptRevoked`."""
+class ReportAttemptState:
+    """Effect: the answer to :class:`AttemptRevocationRequested`."""
 
     state: AttemptState
 
@@ -161,7 +161,7 @@
 
 
 @attrs.frozen
-class WorkStopped:
+class ResponseWaitEnded:
     """A backend server has begun to answer, or will not.
 
     :param serial: as in :class:`WorkStarted`.
@@ -207,4 +207,4 @@
     route: str
     idempotent: bool
     result: WorkResult
-    took: timedelta
+    duration: timedelta
--- a/src/wagtailstep/models/headers.py
+++ b/src/wagtailstep/models/headers.py
@@ -85,7 +85,7 @@
     return next((value for key, value in headers if key == name), None)
 
 
-def read_number(headers: Headers, name: str) -> int | None:
+def read_int_header(headers: Headers, name: str) -> int | None:
     """Return the value of a header that holds a whole number, if it does."""
     value = find_header(headers, name) or ""
     return int(value) if value.isascii() and value.isdigit() else None
@@ -110,7 +110,7 @@
     return remove_headers(headers, HOP_BY_HOP | listed)
 
 
-def pass_on_headers(headers: Headers) -> Headers:
+def build_forwarded_headers(headers: Headers) -> Headers:
     """Return a caller's headers for the next hop, framed for a body sent again.
 
     A chunked body is chunked anew, so that framing is kept; ``Expect`` is each hop's
--- a/src/wagtailstep/models/host_routes.py
+++ b/src/wagtailstep/models/host_routes.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class RoutePart:
+class WeightedService:
     """One service that takes a share of a route's requests.
 
     :param service: name of the service.
@@ -58,7 +58,7 @@
     aim: timedelta
     priority: int
     max_attempts: int
-    parts: tuple[RoutePart, ...]
+    parts: tuple[WeightedService, ...]
 
 
 class HostRoutes:
--- a/src/wagtailstep/models/idempotency.py
+++ b/src/wagtailstep/models/idempotency.py
@@ -20,11 +20,11 @@
 
     daemon_id: str
     incarnation: int
-    serial: str
+    nonce: str
 
     def __str__(self) -> str:
         """Return the ticket as callers send it."""
-        return f"{TICKET_PREFIX}.{self.incarnation}.{self.serial}.{self.daemon_id}"
+        return f"{TICKET_PREFIX}.{self.incarnation}.{self.nonce}.{self.daemon_id}"
 
 
 def parse_ticket(key: str) -> Ticket | None:
@@ -42,7 +42,7 @@
             f"Idempotency-Key {key!r} is not a ticket; send a ticket unchanged, or a "
             f"key that doesn't begin with {TICKET_PREFIX!r}"
         )
-    return Ticket(daemon_id=parts[3], incarnation=int(parts[1]), serial=parts[2])
+    return Ticket(daemon_id=parts[3], incarnation=int(parts[1]), nonce=parts[2])
 
 
 @attrs.frozen
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen
-class RunHere:
+class RunLocally:
     """Decision: this daemon runs the request now, and nobody else does.
 
     :param run_id: name of the run, for ``DuplicateGuard.finish``.
@@ -75,7 +75,7 @@
 
 
 @attrs.frozen
-class PassOn:
+class RelayToDaemon:
     """Decision: another daemon decides.
 
     :param daemon_id: identifier of that daemon.
@@ -98,7 +98,7 @@
     error: RequestError
 
 
-Decision = RunHere | Wait | PassOn | Replay | Refuse
+Decision = RunLocally | Wait | RelayToDaemon | Replay | Refuse
 
 
 @attrs.frozen
--- a/src/wagtailstep/models/keyed_store.py
+++ b/src/wagtailstep/models/keyed_store.py
@@ -57,7 +57,7 @@
         """
 
 
-class NoKeyedStore:
+class NullKeyedStore:
     """Stands for the store where the platform has none."""
 
     async def read_newest(self, collection: Collection) -> KeyedRecords:
--- a/src/wagtailstep/models/load_results.py
+++ b/src/wagtailstep/models/load_results.py
@@ -6,13 +6,13 @@
 import attrs
 from hdrh.histogram import HdrHistogram
 
-LOWEST_US = 1
-HIGHEST_US = 600_000_000
-DIGITS = 3
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 600_000_000
+SIGNIFICANT_DIGITS = 3
 US_PER_MS = 1_000
 # 95 % of a normal distribution lie within this many standard errors; below ten slices
 # the interval is too narrow.
-STANDARD_ERRORS = 1.96
+Z_SCORE_95 = 1.96
 
 
 @attrs.define
@@ -33,7 +33,7 @@
     failed: int = 0
     gave_up: int = 0
     latencies: HdrHistogram = attrs.field(
-        factory=lambda: HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+        factory=lambda: HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     )
 
     @property
@@ -46,7 +46,7 @@
         """Count an answer with success."""
         self.served += 1
         self.in_aim += latency_ms <= aim_ms
-        self.latencies.record_value(max(LOWEST_US, round(latency_ms * US_PER_MS)))
+        self.latencies.record_value(max(MIN_LATENCY_US, round(latency_ms * US_PER_MS)))
 
     def latency_ms(self, percent: float) -> float:
         """Return a percentile of the latency of served requests."""
@@ -84,10 +84,10 @@
 
     def goodputs(self) -> list[float]:
         """Return the goodput of each slice, over all classes."""
-        return [sum_up(results).goodput for results in self.slices]
+        return [combine_results(results).goodput for results in self.slices]
 
 
-def sum_up(results: dict[str, ClassResult]) -> ClassResult:
+def combine_results(results: dict[str, ClassResult]) -> ClassResult:
     """Return the results of all classes together."""
     whole = ClassResult()
     for result in results.values():
@@ -96,7 +96,7 @@
 
 
 @attrs.frozen
-class Difference:
+class GoodputDifference:
     """By how much the second side is better than the first.
 
     :param mean: mean difference of goodput over the slices.
@@ -107,17 +107,17 @@
     margin: float
 
     @property
-    def is_clear(self) -> bool:
+    def is_significant(self) -> bool:
         """Tell whether the interval leaves out zero."""
         return abs(self.mean) > self.margin
 
 
-def compare_sides(first: SideResult, second: SideResult) -> Difference:
+def compare_sides(first: SideResult, second: SideResult) -> GoodputDifference:
     """Compare two sides slice by slice, as both had the same arrivals."""
     pairs = zip(first.goodputs(), second.goodputs(), strict=True)
     differences = [after - before for before, after in pairs]
     mean = statistics.fmean(differences)
     if len(differences) < 2:
-        return Difference(mean, math.inf)
+        return GoodputDifference(mean, math.inf)
     error = statistics.stdev(differences) / math.sqrt(len(differences))
-    return Difference(mean, STANDARD_ERRORS * error)
+    return GoodputDifference(mean, Z_SCORE_95 * error)
--- a/src/wagtailstep/models/log.py
+++ b/src/wagtailstep/models/log.py
@@ -60,7 +60,7 @@
         """Close what is kept open."""
 
 
-class NoLog:
+class NullLogService:
     """Stands for the log service where the platform has none."""
 
     async def append(self, stream: str, data: bytes) -> int:
--- a/src/wagtailstep/models/membership.py
+++ b/src/wagtailstep/models/membership.py
@@ -19,8 +19,8 @@
 from wagtailstep.utils.codec import message
 
 MEMBERS_STREAM = "members"
-BEAT_MS = 100
-BEAT_EPOCH_MS = 1_577_836_800_000
+HEARTBEAT_UNIT_MS = 100
+HEARTBEAT_EPOCH_MS = 1_577_836_800_000
 AGE_UNIT_MS = 20
 
 _STATES = tuple(MemberState)
@@ -47,7 +47,7 @@
     gate_address: str
     availability_zone: str
     serves: tuple[str, ...] = ()
-    wants: tuple[str, ...] = ()
+    requested: tuple[str, ...] = ()
 
     @classmethod
     def from_member(cls, member: Member) -> "MemberEntry":
@@ -74,7 +74,7 @@
             peer_address=self.peer_address,
             gate_address=self.gate_address,
             availability_zone=self.availability_zone,
-            services=self.serves + self.wants,
+            services=self.serves + self.requested,
             state=_STATES[self.state],
             serves=self.serves,
         )
@@ -112,7 +112,7 @@
         return _STATES[self.state]
 
 
-class Updates(msgspec.Struct, array_like=True, frozen=True):
+class MemberUpdates(msgspec.Struct, array_like=True, frozen=True):
     """News of members that travels on other messages.
 
     :param entries: new or restarted daemons, and changed services.
@@ -135,7 +135,7 @@
 
     sequence: int
     reply_to: str
-    updates: Updates = Updates()
+    updates: MemberUpdates = MemberUpdates()
 
 
 @message
@@ -149,8 +149,8 @@
     wire_name: ClassVar[str] = "A"
 
     sequence: int
-    known: int = 0
-    updates: Updates = Updates()
+    known_count: int = 0
+    updates: MemberUpdates = MemberUpdates()
 
 
 @message
@@ -165,7 +165,7 @@
     sequence: int
     reply_to: str
     target_address: str
-    updates: Updates = Updates()
+    updates: MemberUpdates = MemberUpdates()
 
 
 @message
@@ -193,7 +193,7 @@
     start: str
     entries: tuple[MemberEntry, ...]
     after: str
-    known: int = 0
+    known_count: int = 0
 
 
 @message
@@ -317,7 +317,7 @@
 
     daemon_id: str
     availability_zone: str
-    beat: int
+    heartbeat: int
     age_ms: int
     version: int
     services: tuple[str, ...]
--- a/src/wagtailstep/models/packed_rows.py
+++ b/src/wagtailstep/models/packed_rows.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterable, Iterator, MutableMapping
 from typing import Generic, TypeVar
 
-MIN_CHANGES = 512
-CHANGES_SHARE = 1 / 32
+MIN_CHANGES_TO_MERGE = 512
+MERGE_RATIO = 1 / 32
 
 _Row = TypeVar("_Row")
 
@@ -50,25 +50,25 @@
     dictionary and are merged into the packed form when they are a share of it.
 
     :param make_row: builds a row from its key and its number.
-    :param number_of: gives the number of a row.
+    :param get_number: gives the number of a row.
     :param rows: the first rows.
     """
 
     def __init__(
         self,
         make_row: Callable[[str, float], _Row],
-        number_of: Callable[[_Row], float],
+        get_number: Callable[[_Row], float],
         rows: Iterable[tuple[str, float]] = (),
     ) -> None:
         self.make_row = make_row
-        self.number_of = number_of
+        self.get_number = get_number
         self.changes: dict[str, float | None] = {}
         self.count = 0
         self._pack(sorted((key.encode(), number) for key, number in rows))
 
     def __copy__(self) -> "PackedRows[_Row]":
         """Return a copy that shares the packed form, which is never changed."""
-        other = PackedRows(self.make_row, self.number_of)
+        other = PackedRows(self.make_row, self.get_number)
         other.numbers = self.numbers
         other.packed_keys = self.packed_keys
         other.changes = dict(self.changes)
@@ -112,7 +112,9 @@
 
     def _change(self, key: str, number: float | None) -> None:
         self.changes[key] = number
-        if len(self.changes) > max(MIN_CHANGES, CHANGES_SHARE * len(self.numbers)):
+        if len(self.changes) > max(
+            MIN_CHANGES_TO_MERGE, MERGE_RATIO * len(self.numbers)
+        ):
             self._merge_changes()
 
     def _merge_changes(self) -> None:
@@ -124,11 +126,11 @@
                 merged[key.encode()] = number
         self._pack(sorted(merged.items()))
 
-    def numbers_from(self, prefix: str = "") -> Iterator[tuple[str, float]]:
+    def numbers_with_prefix(self, prefix: str = "") -> Iterator[tuple[str, float]]:
         """Yield keys that begin with a prefix, and their numbers, in order."""
         start = prefix.encode()
         if not self.changes:
-            yield from self._packed_from(start)
+            yield from self._packed_with_prefix(start)
             return
         changed = sorted(key for key in self.changes if key.startswith(prefix))
         changed_at = 0
@@ -147,7 +149,7 @@
         for key in changed[changed_at:]:
             yield from self._yield_change(key)
 
-    def _packed_from(self, start: bytes) -> Iterator[tuple[str, float]]:
+    def _packed_with_prefix(self, start: bytes) -> Iterator[tuple[str, float]]:
         keys, numbers = self.packed_keys, self.numbers
         if not start:
             yield from zip(map(bytes.decode, keys), numbers, strict=True)
@@ -176,7 +178,7 @@
     def __setitem__(self, key: str, row: _Row) -> None:
         """Set a row."""
         self.count += self.find_number(key) is None
-        self._change(key, self.number_of(row))
+        self._change(key, self.get_number(row))
 
     def __delitem__(self, key: str) -> None:
         """Remove a row.
@@ -190,7 +192,7 @@
 
     def __iter__(self) -> Iterator[str]:
         """Yield the keys in order."""
-        return (key for key, _ in self.numbers_from())
+        return (key for key, _ in self.numbers_with_prefix())
 
     def __len__(self) -> int:
         """Return the number of rows."""
--- a/src/wagtailstep/models/request.py
+++ b/src/wagtailstep/models/request.py
@@ -9,7 +9,7 @@
 from wagtailstep.models.host_routes import RouteKind
 from wagtailstep.models.verdict import Verdict
 
-NO_LIMIT = 1_000
+UNLIMITED_ATTEMPTS = 1_000
 
 
 @attrs.frozen
@@ -32,10 +32,10 @@
     :param aim: time within which an answer is of full use; zero if unknown.
     :param priority: rank among the routes of its service; 0 goes first.
     :param max_attempts: targets that it may be sent to.
-    :param aim_at: monotonic time until which an answer is of full use, if known.
+    :param aim_deadline: monotonic time until which an answer is of full use, if known.
     :param may_wait: whether a gate may keep it for longer than a moment until a slot
         is free.
-    :param chosen_standing: standing of the target as the entry knew it when it chose.
+    :param expected_standing: standing of the target as the entry knew it when it chose.
     """
 
     request_id: str
@@ -52,13 +52,13 @@
     kind: RouteKind | None = None
     aim: timedelta = timedelta()
     priority: int = 0
-    max_attempts: int = NO_LIMIT
-    aim_at: timedelta | None = None
+    max_attempts: int = UNLIMITED_ATTEMPTS
+    aim_deadline: timedelta | None = None
     may_wait: bool = True
-    chosen_standing: TargetStanding = TargetStanding.FAILING
+    expected_standing: TargetStanding = TargetStanding.FAILING
 
     @property
-    def guarded(self) -> bool:
+    def needs_duplicate_guard(self) -> bool:
         """Return whether its key must keep it from running twice."""
         return self.idempotency_key is not None and not self.idempotent
 
@@ -88,11 +88,11 @@
     service: str
     route: str
     outcome: str
-    took: timedelta
+    duration: timedelta
 
 
 @attrs.frozen
-class RequestOutcome:
+class AttemptEnded:
     """How one attempt at a request ended, as an event for the controllers.
 
     :param request: the request.
--- a/src/wagtailstep/models/status.py
+++ b/src/wagtailstep/models/status.py
@@ -45,7 +45,7 @@
 def describe_status(blackboard: Blackboard) -> DaemonStatus:
     """Read a daemon's status off its blackboard."""
     member = blackboard.this_member
-    steered = [name for name, h in blackboard.health.items() if h.steer_away]
+    steered = [name for name, h in blackboard.health.items() if h.avoided]
     return DaemonStatus(
         daemon_id=member.daemon_id,
         incarnation=member.incarnation,
--- a/src/wagtailstep/models/table.py
+++ b/src/wagtailstep/models/table.py
@@ -28,7 +28,7 @@
 MAX_TIMEOUT_MS = 3_600_000
 
 
-class LogAwayPolicy(enum.Enum):
+class LogUnavailablePolicy(enum.Enum):
     """What happens to keyed non-idempotent requests while the log is away."""
 
     REFUSE = "refuse"
@@ -69,7 +69,7 @@
     false_ejection_risk: float = _column(
         1e-6, MIN_FALSE_EJECTION_RISK, MAX_FALSE_EJECTION_RISK
     )
-    log_away: LogAwayPolicy = LogAwayPolicy.REFUSE
+    log_away: LogUnavailablePolicy = LogUnavailablePolicy.REFUSE
     unlisted_servers: int = _column(0, 0, MAX_SERVERS)
 
     @property
@@ -211,7 +211,9 @@
         rows = self.rows(kind)
         prefix = f"{service}/"
         if isinstance(rows, PackedRows):
-            yield from (rows.make_row(*pair) for pair in rows.numbers_from(prefix))
+            yield from (
+                rows.make_row(*pair) for pair in rows.numbers_with_prefix(prefix)
+            )
             return
         yield from (row for key, row in rows.items() if key.startswith(prefix))
 
@@ -222,7 +224,9 @@
         """
         rows = self.backend_servers
         if isinstance(rows, PackedRows):
-            listed = sum(weight for _, weight in rows.numbers_from(f"{service}/"))
+            listed = sum(
+                weight for _, weight in rows.numbers_with_prefix(f"{service}/")
+            )
         else:
             found = self.rows_of_service(RowKind.BACKEND_SERVER, service)
             listed = sum(row.weight for row in found)
--- a/src/wagtailstep/models/table_fold.py
+++ b/src/wagtailstep/models/table_fold.py
@@ -23,7 +23,7 @@
 from wagtailstep.models.table_rules import check_row, check_services
 from wagtailstep.utils.codec import decode_message
 
-RECENT_EDITS = 1_024
+MAX_REMEMBERED_EDITS = 1_024
 HASH_MASK = (1 << 64) - 1
 
 _NUMBER = struct.Struct("<d")
@@ -59,7 +59,7 @@
     for kind in RowKind:
         rows = table.rows(kind)
         if isinstance(rows, PackedRows):
-            pairs = rows.numbers_from()
+            pairs = rows.numbers_with_prefix()
             total += sum(hash_number(kind, key, number) for key, number in pairs)
             continue
         total += sum(hash_row(RowId(kind, key), row) for key, row in rows.items())
@@ -72,7 +72,7 @@
 
     An edit is accepted if none of its rows changed after the version that it was
     based on and if the table stays valid. Edits are remembered for the last
-    ``RECENT_EDITS`` versions; an edit based on an older version is refused.
+    ``MAX_REMEMBERED_EDITS`` versions; an edit based on an older version is refused.
 
     :param table: the table; changed in place.
     :param next_offset: offset of the next record.
@@ -133,7 +133,7 @@
             self._check_base(edit)
             changed = self._change_rows(edit.changes)
         except TableConflictError as error:
-            return self._refuse(edit, str(error), error.winner)
+            return self._refuse(edit, str(error), error.conflicting_edit_id)
         except TableError as error:
             return self._refuse(edit, str(error), "")
         return self._accept(edit, offset, changed)
@@ -152,13 +152,16 @@
                 f"least {self.horizon}; export the table again and repeat the edit"
             )
         for row_id, _ in edit.changes.items():
-            winner = self.last_changes.get(row_id)
-            if winner is not None and winner.version > edit.base_version:
+            conflicting_edit = self.last_changes.get(row_id)
+            if (
+                conflicting_edit is not None
+                and conflicting_edit.version > edit.base_version
+            ):
                 raise TableConflictError(
-                    f"row {row_id} was changed by {winner.describe()} after version "
-                    f"{edit.base_version}; look at the row and repeat the edit if it "
-                    f"is still wanted",
-                    winner.edit_id,
+                    f"row {row_id} was changed by {conflicting_edit.describe()} after "
+                    f"version {edit.base_version}; look at the row and repeat the "
+                    f"edit if it is still wanted",
+                    conflicting_edit.edit_id,
                 )
 
     def _change_rows(self, changes: TableChanges) -> int:
@@ -207,14 +210,14 @@
             edit.utc,
             tuple(row_id for row_id, _ in edit.changes.items()),
         )
-        self.remember(accepted)
+        self.add_accepted_edit(accepted)
         return EditOutcome(edit.edit_id, EditVerdict.ACCEPTED, self.version)
 
-    def remember(self, edit: AcceptedEdit) -> None:
+    def add_accepted_edit(self, edit: AcceptedEdit) -> None:
         """Remember the newest accepted edit, and forget the oldest of too many."""
         self.accepted.append(edit)
         self._index(edit)
-        if len(self.accepted) > RECENT_EDITS:
+        if len(self.accepted) > MAX_REMEMBERED_EDITS:
             self._forget_oldest()
 
     def _index(self, edit: AcceptedEdit) -> None:
@@ -236,7 +239,7 @@
             edit.edit_id, EditVerdict.REFUSED, self.version, reason, winner
         )
         self.refused[edit.edit_id] = outcome
-        if len(self.refused) > RECENT_EDITS:
+        if len(self.refused) > MAX_REMEMBERED_EDITS:
             del self.refused[next(iter(self.refused))]
         return outcome
 
@@ -250,7 +253,7 @@
             return EditOutcome(edit_id, EditVerdict.ACCEPTED, accepted.version)
         return self.refused.get(edit_id)
 
-    def hash_at(self, version: int) -> int | None:
+    def content_hash_at(self, version: int) -> int | None:
         """Return the content hash of a remembered version, or ``None``."""
         if version == self.version:
             return self.content_hash
--- a/src/wagtailstep/models/table_reader.py
+++ b/src/wagtailstep/models/table_reader.py
@@ -11,7 +11,7 @@
 from wagtailstep.models.table_snapshot import decode_snapshot
 from wagtailstep.utils.codec import decode_message
 
-MAX_OPEN_SNAPSHOTS = 8
+MAX_INCOMPLETE_SNAPSHOTS = 8
 TAIL_BYTES = 65_536
 
 # The encoded name of the class; looking for it spares decoding every record.
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class SeenSnapshot:
+class CheckedSnapshot:
     """A whole snapshot that was read from the log.
 
     :param last_part: its last part, without data.
@@ -107,15 +107,15 @@
     :param fold: the fold; ``None`` until the first record or a snapshot came.
     :param tail: the newest applied records.
     :param pending: records after a gap, consecutive, oldest first.
-    :param open_parts: parts of snapshots that are not whole yet.
+    :param incomplete_snapshots: parts of snapshots that are not whole yet.
     :param seen: whole snapshots seen, for the caller to take.
     """
 
     fold: TableFold | None = None
     tail: RecordTail = attrs.field(factory=RecordTail)
     pending: collections.deque[LogRecord] = attrs.field(factory=collections.deque)
-    open_parts: dict[str, list[TableSnapshotPart]] = attrs.field(factory=dict)
-    seen: list[SeenSnapshot] = attrs.field(factory=list)
+    incomplete_snapshots: dict[str, list[TableSnapshotPart]] = attrs.field(factory=dict)
+    checked_snapshots: list[CheckedSnapshot] = attrs.field(factory=list)
 
     @property
     def position(self) -> int:
@@ -127,7 +127,7 @@
         self.fold = None
         self.tail.reset(0)
         self.pending.clear()
-        self.open_parts.clear()
+        self.incomplete_snapshots.clear()
 
     def start_empty(self) -> None:
         """Start with the empty table, for a stream whose first record is retained."""
@@ -135,20 +135,20 @@
             self.fold = TableFold()
             self.tail.reset(0)
 
-    def read_log(self, record: LogRecord) -> list[EditOutcome]:
+    def apply_log_record(self, record: LogRecord) -> list[EditOutcome]:
         """Take the next record of the log.
 
         :return: outcomes of the edits that it, or a snapshot in it, decided.
         """
         if record.offset == 0:
             self.start_empty()
-        outcomes = self.offer(record)
+        outcomes = self.apply_record(record)
         part = decode_part(record)
         if part is not None:
-            outcomes += self._take_part(part, record.offset)
+            outcomes += self._apply_part(part, record.offset)
         return outcomes
 
-    def offer(self, record: LogRecord) -> list[EditOutcome]:
+    def apply_record(self, record: LogRecord) -> list[EditOutcome]:
         """Take a record if it is the next one, or keep it if it is after a gap."""
         if record.offset < self.position:
             return []
@@ -180,19 +180,19 @@
                 outcomes += self._apply(record)
         return outcomes
 
-    def _take_part(self, part: TableSnapshotPart, offset: int) -> list[EditOutcome]:
-        parts = self.open_parts.setdefault(part.snapshot_id, [])
+    def _apply_part(self, part: TableSnapshotPart, offset: int) -> list[EditOutcome]:
+        parts = self.incomplete_snapshots.setdefault(part.snapshot_id, [])
         parts.append(part)
-        if len(self.open_parts) > MAX_OPEN_SNAPSHOTS:
-            del self.open_parts[next(iter(self.open_parts))]
+        if len(self.incomplete_snapshots) > MAX_INCOMPLETE_SNAPSHOTS:
+            del self.incomplete_snapshots[next(iter(self.incomplete_snapshots))]
         by_index = {held.index: held for held in parts}
         if len(by_index) < part.count:
             return []
-        self.open_parts.pop(part.snapshot_id, None)
+        self.incomplete_snapshots.pop(part.snapshot_id, None)
         data = b"".join(by_index[index].data for index in sorted(by_index))
-        return self._take_snapshot(part, data, offset)
+        return self._apply_snapshot(part, data, offset)
 
-    def _take_snapshot(
+    def _apply_snapshot(
         self, part: TableSnapshotPart, data: bytes, offset: int
     ) -> list[EditOutcome]:
         """Use a whole snapshot if it is newer and nothing is missing after it."""
@@ -200,10 +200,12 @@
         fold = None
         if not problem and part.next_offset > self.position:
             try:
-                fold = self._decode_usable(part, data)
+                fold = self._decode_if_usable(part, data)
             except DecodeError as error:
                 problem = str(error)
-        self.seen.append(SeenSnapshot(attrs.evolve(part, data=b""), problem))
+        self.checked_snapshots.append(
+            CheckedSnapshot(attrs.evolve(part, data=b""), problem)
+        )
         return [] if fold is None else self.restore(fold)
 
     def _find_problem(self, part: TableSnapshotPart, offset: int) -> str:
@@ -212,12 +214,14 @@
             return "it claims records that were not yet appended"
         if self.fold is None or part.next_offset > self.position:
             return ""
-        known = self.fold.hash_at(part.version)
+        known = self.fold.content_hash_at(part.version)
         if known is not None and known != part.content_hash:
             return f"version {part.version} has another content here"
         return ""
 
-    def _decode_usable(self, part: TableSnapshotPart, data: bytes) -> TableFold | None:
+    def _decode_if_usable(
+        self, part: TableSnapshotPart, data: bytes
+    ) -> TableFold | None:
         """Decode a newer snapshot if all records after it are held.
 
         :raises DecodeError: if it is damaged.
--- a/src/wagtailstep/models/table_snapshot.py
+++ b/src/wagtailstep/models/table_snapshot.py
@@ -74,7 +74,7 @@
 
 def _encode_numbers(rows: Mapping[str, Row]) -> tuple[msgspec.Raw, ...]:
     assert isinstance(rows, PackedRows)
-    pairs = rows.numbers_from()
+    pairs = rows.numbers_with_prefix()
     groups: list[msgspec.Raw] = []
     while group := dict(itertools.islice(pairs, GROUP_ROWS)):
         groups.append(msgspec.Raw(msgspec.msgpack.encode(group)))
--- a/src/wagtailstep/models/verdict.py
+++ b/src/wagtailstep/models/verdict.py
@@ -26,7 +26,7 @@
 _RANK = {Verdict.NOT_RUN: 0, Verdict.MAY_HAVE_RUN: 1, Verdict.RUN: 2}
 
 
-def worst_verdict(first: Verdict, second: Verdict) -> Verdict:
+def combine_verdicts(first: Verdict, second: Verdict) -> Verdict:
     """Combine the verdicts of two attempts of the same request.
 
     :return: the verdict that claims more: run before may-have-run before not-run.
--- a/src/wagtailstep/network/attempts.py
+++ b/src/wagtailstep/network/attempts.py
@@ -11,7 +11,7 @@
 from wagtailstep.models import headers
 from wagtailstep.models.exchange import Answer
 from wagtailstep.models.headers import find_header
-from wagtailstep.models.request import Blame, RequestContext, RequestOutcome
+from wagtailstep.models.request import AttemptEnded, Blame, RequestContext
 from wagtailstep.models.verdict import Verdict
 from wagtailstep.utils.clock import Clock
 
@@ -73,7 +73,7 @@
         self.ended = True
         self.routing.end_attempt(self.target_id)
         head_time = self.answered or self.clock.monotonic()
-        outcome = RequestOutcome(
+        outcome = AttemptEnded(
             request=self.request,
             target_id=self.target_id,
             verdict=verdict,
--- a/src/wagtailstep/network/daemon.py
+++ b/src/wagtailstep/network/daemon.py
@@ -17,11 +17,11 @@
 from wagtailstep.controllers.guard import DuplicateGuard
 from wagtailstep.controllers.routing import RoutingController
 from wagtailstep.models.blackboard import Blackboard
-from wagtailstep.models.events import Controller, GateSilent
+from wagtailstep.models.events import Controller, GateUnresponsive
 from wagtailstep.models.fleet import Member
 from wagtailstep.models.idempotency import RequestDecided
-from wagtailstep.models.keyed_store import KeyedStore, NoKeyedStore
-from wagtailstep.models.log import LogService, NoLog
+from wagtailstep.models.keyed_store import KeyedStore, NullKeyedStore
+from wagtailstep.models.log import LogService, NullLogService
 from wagtailstep.models.peer import PeerChannel
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.models.status import DaemonStatus, describe_status
@@ -102,7 +102,9 @@
         )
         self.runtime = Runtime(*parts, outside)
         self.runtime.controllers = self.make_controllers()
-        self.client.on_unreachable = lambda address: self.dispatch(GateSilent(address))
+        self.client.on_unreachable = lambda address: self.dispatch(
+            GateUnresponsive(address)
+        )
 
     def make_controllers(self) -> tuple[Controller, ...]:
         """Return the controllers; each sees what those before it wrote for an event."""
@@ -110,7 +112,7 @@
 
     def find_log(self) -> LogService:
         """Return the platform's log service, or one without records."""
-        return NoLog()
+        return NullLogService()
 
     def make_channel(self) -> PeerChannel:
         """Return the control channel to the other daemons."""
@@ -118,7 +120,7 @@
 
     def find_store(self) -> KeyedStore:
         """Return the platform's keyed store, or one without records."""
-        return NoKeyedStore()
+        return NullKeyedStore()
 
     def add_announcements(self, app: Application) -> None:
         """Let the backend servers beside this daemon announce themselves."""
@@ -265,7 +267,7 @@
             for target_id in self.blackboard.local_targets
             if target_id in self.blackboard.targets
         }
-        services = sorted(local | self.blackboard.wanted_services) or [""]
+        services = sorted(local | self.blackboard.requested_services) or [""]
         table = self.blackboard.table
         return max(table.service_row(service).drain_limit for service in services)
 
--- a/src/wagtailstep/network/entry.py
+++ b/src/wagtailstep/network/entry.py
@@ -25,11 +25,11 @@
 from wagtailstep.models.headers import find_header, remove_headers, replace_headers
 from wagtailstep.models.idempotency import (
     Decision,
-    PassOn,
     Refuse,
+    RelayToDaemon,
     Replay,
     RequestDecided,
-    RunHere,
+    RunLocally,
     StoredAnswer,
     Wait,
 )
@@ -176,7 +176,7 @@
 
     async def serve_admitted(self, exchange: Exchange) -> Answer:
         """Run a request, or have its guard say what to do with it."""
-        if exchange.request.guarded:
+        if exchange.request.needs_duplicate_guard:
             return await self.serve_guarded(exchange)
         if exchange.has_small_body:
             await self.within_deadline(exchange, exchange.body.prefetch())
@@ -190,7 +190,7 @@
         :return: the error, its verdict changed if needed.
         """
         known = (
-            not request.guarded
+            not request.needs_duplicate_guard
             or request.first_sending
             or self.guard.knows_not_run(request)
         )
@@ -274,7 +274,7 @@
 
     def decline(self, decision: Decision) -> None:
         """Give back the right to run a request that nobody waits for."""
-        if isinstance(decision, RunHere):
+        if isinstance(decision, RunLocally):
             self.apply(self.guard.finish(decision.run_id, Verdict.NOT_RUN))
 
     @singledispatchmethod
@@ -297,7 +297,7 @@
         return Answer(stored.status, stored.headers, body, Verdict.RUN)
 
     @follow.register
-    async def _(self, decision: PassOn, exchange: Exchange) -> Answer:
+    async def _(self, decision: RelayToDaemon, exchange: Exchange) -> Answer:
         member = self.blackboard.members.get(decision.daemon_id)
         if member is None:
             raise make_unknown_error("the daemon that may run it is gone")
@@ -305,7 +305,7 @@
         return self.track(answer, lambda verdict, _: exchange.release())
 
     @follow.register
-    async def _(self, decision: RunHere, exchange: Exchange) -> Answer:
+    async def _(self, decision: RunLocally, exchange: Exchange) -> Answer:
         exchange.on_end = lambda verdict, answer: self.apply(
             self.guard.finish(decision.run_id, verdict, answer)
         )
--- a/src/wagtailstep/network/entry_notes.py
+++ b/src/wagtailstep/network/entry_notes.py
@@ -40,12 +40,14 @@
 
     def take_request(self, incoming: IncomingRequest, request: RequestContext) -> None:
         """Note a request whose head was read."""
-        if is_local(incoming.peer, self.settings):
+        if is_local(incoming.caller_ip, self.settings):
             self.dispatch(LocalCall(request.service))
 
     def take_answer(self, incoming: IncomingRequest, status: int) -> None:
         """Note the answer of a backend server."""
-        if status >= FIRST_FAILURE_STATUS and is_local(incoming.peer, self.settings):
+        if status >= FIRST_FAILURE_STATUS and is_local(
+            incoming.caller_ip, self.settings
+        ):
             refused = status == HTTPStatus.SERVICE_UNAVAILABLE
             self.dispatch(LocalCallFailed(incoming.path, refused))
 
--- a/src/wagtailstep/network/exchanges.py
+++ b/src/wagtailstep/network/exchanges.py
@@ -10,10 +10,10 @@
 from wagtailstep.exceptions import BadRequestError, RequestError
 from wagtailstep.models.exchange import IncomingRequest
 from wagtailstep.models.fleet import Target
-from wagtailstep.models.headers import read_number
+from wagtailstep.models.headers import read_int_header
 from wagtailstep.models.idempotency import StoredAnswer
 from wagtailstep.models.request import RequestContext
-from wagtailstep.models.verdict import Verdict, worst_verdict
+from wagtailstep.models.verdict import Verdict, combine_verdicts
 from wagtailstep.network.bodies import ReplayableBody
 
 OnEnd = Callable[[Verdict, StoredAnswer | None], None]
@@ -60,14 +60,14 @@
     @property
     def has_small_body(self) -> bool:
         """Return whether the body is known to be small enough to read ahead."""
-        length = read_number(self.incoming.headers, "content-length") or 0
+        length = read_int_header(self.incoming.headers, "content-length") or 0
         return 0 < length <= self.body.limit
 
     @property
     def verdict_if_cancelled(self) -> Verdict:
         """Return the verdict if the request stops now."""
         if self.sending:
-            return worst_verdict(self.verdict, Verdict.MAY_HAVE_RUN)
+            return combine_verdicts(self.verdict, Verdict.MAY_HAVE_RUN)
         return self.verdict
 
     def make_incoming(self) -> IncomingRequest:
@@ -92,7 +92,7 @@
     def cover(self, error: RequestError) -> None:
         """Have an error's verdict and status cover the attempts before it, too."""
         promises = error.verdict is Verdict.NOT_RUN
-        error.verdict = worst_verdict(error.verdict, self.verdict)
+        error.verdict = combine_verdicts(error.verdict, self.verdict)
         self.verdict = error.verdict
         if promises and error.verdict is not Verdict.NOT_RUN:
             # Statuses of refusals tell that nothing was run.
--- a/src/wagtailstep/network/forwarder.py
+++ b/src/wagtailstep/network/forwarder.py
@@ -39,9 +39,9 @@
     TIMEOUT_MS,
     VERDICT,
     Headers,
+    build_forwarded_headers,
     find_header,
-    pass_on_headers,
-    read_number,
+    read_int_header,
     remove_fleet_headers,
 )
 from wagtailstep.models.request import Blame, RequestContext
@@ -149,12 +149,12 @@
     headers: Headers = ()
     if request.priority:
         headers += ((PRIORITY, str(request.priority)),)
-    if request.aim_at is not None:
-        left = max(timedelta(), request.aim_at - now)
+    if request.aim_deadline is not None:
+        left = max(timedelta(), request.aim_deadline - now)
         headers += ((AIM_MS, str(left // MILLISECOND)),)
     if not request.may_wait:
         headers += ((MAY_WAIT, "?0"),)
-    return (*headers, (STANDING, str(int(request.chosen_standing))))
+    return (*headers, (STANDING, str(int(request.expected_standing))))
 
 
 def make_headers(
@@ -176,7 +176,7 @@
         (IDEMPOTENT, "?1" if request.idempotent else "?0"),
         (TIMEOUT_MS, str(max(0, int((time_left - margin) / MILLISECOND)))),
     )
-    return remove_fleet_headers(pass_on_headers(incoming.headers)) + own_headers
+    return remove_fleet_headers(build_forwarded_headers(incoming.headers)) + own_headers
 
 
 def ask_before_body(headers: Headers) -> Headers:
@@ -258,8 +258,8 @@
 
 def read_retry_after(headers: Headers) -> timedelta | None:
     """Return the time after which the gate may be asked again."""
-    exact_ms = read_number(headers, RETRY_AFTER_MS)
+    exact_ms = read_int_header(headers, RETRY_AFTER_MS)
     if exact_ms is not None:
         return exact_ms * MILLISECOND
-    seconds = read_number(headers, RETRY_AFTER)
+    seconds = read_int_header(headers, RETRY_AFTER)
     return None if seconds is None else timedelta(seconds=seconds)
--- a/src/wagtailstep/network/gate.py
+++ b/src/wagtailstep/network/gate.py
@@ -23,18 +23,18 @@
 )
 from wagtailstep.models.exchange import Answer, IncomingRequest
 from wagtailstep.models.gate import (
-    AttemptRevoked,
+    AttemptRevocationRequested,
     GateRequest,
     GateRequestAbandoned,
     GateRequestArrived,
     GateRequestEnded,
     RefuseRequest,
+    ResponseWaitEnded,
     RunResult,
     StartRequest,
     WorkEnded,
     WorkResult,
     WorkStarted,
-    WorkStopped,
 )
 from wagtailstep.models.headers import (
     AIM_MS,
@@ -56,9 +56,9 @@
     TIMEOUT_MS,
     VERDICT,
     Headers,
+    build_forwarded_headers,
     find_header,
-    pass_on_headers,
-    read_number,
+    read_int_header,
     remove_fleet_headers,
     remove_headers,
 )
@@ -127,7 +127,7 @@
         if find_header(incoming.headers, GATE_ID) != self.gate_id:
             raise BadRequestError("another gate is asked for", HTTPStatus.CONFLICT)
         attempt_id = incoming.path.removeprefix(REVOCATION_PATH)
-        (effect,) = self.controller.handle(AttemptRevoked(attempt_id))
+        (effect,) = self.controller.handle(AttemptRevocationRequested(attempt_id))
         data = msgspec.json.encode(AttemptStateAnswer(effect.state))
         headers = (
             ("content-type", "application/json"),
@@ -155,7 +155,7 @@
             self.started.pop(request.serial, None)
             raise
         finally:
-            self.dispatch(WorkStopped(request.serial))
+            self.dispatch(ResponseWaitEnded(request.serial))
         own_headers = (
             (VERDICT, Verdict.RUN.value),
             (REQUEST_ID, request.request_id),
@@ -187,7 +187,7 @@
         headers = incoming.headers
         request_id = require_header(headers, REQUEST_ID)
         now = self.clock.monotonic()
-        aim_ms = read_number(headers, AIM_MS)
+        aim_ms = read_int_header(headers, AIM_MS)
         return GateRequest(
             serial=next(self.serials),
             request_id=request_id,
@@ -196,11 +196,11 @@
             route=find_header(headers, ROUTE) or "",
             idempotent=find_header(headers, IDEMPOTENT) == "?1",
             deadline=now + read_timeout(headers),
-            priority=read_number(headers, PRIORITY) or 0,
-            aim_at=None if aim_ms is None else now + aim_ms * MILLISECOND,
+            priority=read_int_header(headers, PRIORITY) or 0,
+            aim_deadline=None if aim_ms is None else now + aim_ms * MILLISECOND,
             arrived_at=now,
             may_wait=find_header(headers, MAY_WAIT) != "?0",
-            chosen_standing=read_standing(headers),
+            expected_standing=read_standing(headers),
         )
 
     async def wait_for_slot(self, request: GateRequest) -> None:
@@ -276,7 +276,7 @@
             address=target.dial_address,
             method=incoming.method,
             path=incoming.path,
-            headers=remove_fleet_headers(pass_on_headers(incoming.headers))
+            headers=remove_fleet_headers(build_forwarded_headers(incoming.headers))
             + tuple(own_headers),
             body=incoming.body,
             idempotent=request.idempotent,
--- a/src/wagtailstep/network/gate_answers.py
+++ b/src/wagtailstep/network/gate_answers.py
@@ -20,7 +20,7 @@
     TIMEOUT_MS,
     Headers,
     find_header,
-    read_number,
+    read_int_header,
 )
 from wagtailstep.models.request import Blame
 from wagtailstep.models.verdict import Verdict
@@ -74,7 +74,7 @@
     :raises BadRequestError: if the header is missing or no number.
     """
     text = require_header(headers, TIMEOUT_MS)
-    time_ms = read_number(headers, TIMEOUT_MS)
+    time_ms = read_int_header(headers, TIMEOUT_MS)
     if time_ms is None:
         raise BadRequestError(f"{TIMEOUT_MS} is {text!r}, not a number of ms")
     return time_ms * MILLISECOND
@@ -82,7 +82,7 @@
 
 def read_standing(headers: Headers) -> TargetStanding:
     """Return the standing that the entry knew; the worst one if it tells none."""
-    value = read_number(headers, STANDING)
+    value = read_int_header(headers, STANDING)
     if value is None or value >= len(TargetStanding):
         return TargetStanding.FAILING
     return TargetStanding(value)
@@ -102,7 +102,11 @@
     if isinstance(error, DeadlineExceededError):
         return WorkResult.LATE
     if error is not None:
-        return WorkResult.BROKEN if error.counts_as_sent else WorkResult.UNREACHABLE
+        return (
+            WorkResult.BROKEN
+            if error.may_have_been_received
+            else WorkResult.UNREACHABLE
+        )
     if cut:
         return WorkResult.BROKEN
     if status == HTTPStatus.GATEWAY_TIMEOUT:
--- a/src/wagtailstep/network/interpret.py
+++ b/src/wagtailstep/network/interpret.py
@@ -87,7 +87,7 @@
         aim=route.aim,
         priority=route.priority,
         max_attempts=route.max_attempts,
-        aim_at=now + route.aim if route.aim else None,
+        aim_deadline=now + route.aim if route.aim else None,
     )
 
 
--- a/src/wagtailstep/network/metrics.py
+++ b/src/wagtailstep/network/metrics.py
@@ -14,7 +14,7 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import Tick
 from wagtailstep.models.gate import WorkEnded
-from wagtailstep.models.request import RequestEnded, RequestOutcome
+from wagtailstep.models.request import AttemptEnded, RequestEnded
 from wagtailstep.utils.clock import Clock
 
 
@@ -123,11 +123,11 @@
         if isinstance(event, RequestEnded):
             route = {"service": event.service, "route": event.route}
             self.requests.add(1, {**route, "outcome": event.outcome})
-            self.request_latency.record(event.took.total_seconds(), route)
+            self.request_latency.record(event.duration.total_seconds(), route)
         if isinstance(event, WorkEnded):
             result = {"result": event.result.value}
-            self.work.record(event.took.total_seconds(), result)
-        if isinstance(event, RequestOutcome):
+            self.work.record(event.duration.total_seconds(), result)
+        if isinstance(event, AttemptEnded):
             attributes = {
                 "service": event.request.service,
                 "verdict": event.verdict.value,
--- a/src/wagtailstep/network/relay.py
+++ b/src/wagtailstep/network/relay.py
@@ -10,7 +10,7 @@
     RELAYED,
     TIMEOUT_MS,
     Headers,
-    pass_on_headers,
+    build_forwarded_headers,
     replace_headers,
 )
 from wagtailstep.network.forwarder import read_verdict
@@ -54,5 +54,7 @@
     """Return the caller's headers with the time that is left."""
     time_left_ms = max(1, int(time_left / MILLISECOND))
     return replace_headers(
-        pass_on_headers(headers), (TIMEOUT_MS, str(time_left_ms)), (RELAYED, "?1")
+        build_forwarded_headers(headers),
+        (TIMEOUT_MS, str(time_left_ms)),
+        (RELAYED, "?1"),
     )
--- a/src/wagtailstep/network/request_reader.py
+++ b/src/wagtailstep/network/request_reader.py
@@ -7,7 +7,7 @@
 from wagtailstep.models import headers
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.exchange import IncomingRequest
-from wagtailstep.models.headers import find_header, read_number
+from wagtailstep.models.headers import find_header, read_int_header
 from wagtailstep.models.request import RequestContext
 from wagtailstep.models.settings import RequestSettings
 from wagtailstep.network.bodies import make_size_error
@@ -26,7 +26,7 @@
     :param most: longest size in bytes; 0 for any.
     :raises BodyTooLargeError: if it is longer.
     """
-    length = read_number(incoming.headers, "content-length") or 0
+    length = read_int_header(incoming.headers, "content-length") or 0
     if most and length > most:
         raise make_size_error(most)
 
--- a/src/wagtailstep/network/runtime.py
+++ b/src/wagtailstep/network/runtime.py
@@ -17,7 +17,7 @@
     Controller,
     FollowStream,
     ListMembers,
-    LogAppendSettled,
+    LogAppendFinished,
     LogReachability,
     MemberRegistered,
     MembersListed,
@@ -28,7 +28,7 @@
     SendToPeer,
     Tick,
 )
-from wagtailstep.models.keyed_store import Collection, KeyedStore, NoKeyedStore
+from wagtailstep.models.keyed_store import Collection, KeyedStore, NullKeyedStore
 from wagtailstep.models.log import LogService
 from wagtailstep.models.peer import PeerChannel, StampedMessage
 from wagtailstep.models.settings import DaemonSettings
@@ -54,7 +54,7 @@
     log: LogService
     channel: PeerChannel
     probe: Callable[[ProbeTarget], Any]
-    store: KeyedStore = NoKeyedStore()
+    store: KeyedStore = NullKeyedStore()
 
 
 class Runtime:
@@ -192,7 +192,7 @@
         except LogError:
             may_have_applied = True
         self.wake_follower(effect.stream)
-        self.dispatch(LogAppendSettled(effect.append_id, offset, may_have_applied))
+        self.dispatch(LogAppendFinished(effect.append_id, offset, may_have_applied))
 
     def wake_follower(self, stream: str) -> None:
         """Read a followed stream now, since it has grown."""
--- a/src/wagtailstep/network/sender.py
+++ b/src/wagtailstep/network/sender.py
@@ -88,7 +88,7 @@
             try:
                 answer = await self.attempt(exchange, target)
             except RequestError as error:
-                exchange.sent += error.counts_as_sent
+                exchange.sent += error.may_have_been_received
                 exchange.cover(error)
                 if is_full_gate(error):
                     exchange.waits[target.target_id] = error.retry_after or NO_TIME
@@ -258,7 +258,7 @@
         request = attrs.evolve(
             exchange.request,
             may_wait=self.may_wait(exchange, target),
-            chosen_standing=target.standing,
+            expected_standing=target.standing,
         )
         exchange.tried.add(target.target_id)
         attempt = Attempt(
--- a/src/wagtailstep/platform/configuration.py
+++ b/src/wagtailstep/platform/configuration.py
@@ -11,7 +11,7 @@
     HostRoute,
     HostRoutes,
     RouteKind,
-    RoutePart,
+    WeightedService,
 )
 from wagtailstep.models.keyed_store import KeyedRecords
 from wagtailstep.models.published_table import TableDocument
@@ -153,12 +153,12 @@
     :raises ValueError: if its kind is unknown or it leads nowhere.
     """
     parts = tuple(
-        RoutePart(part.service, part.weight) for part in row.traffic_split or ()
+        WeightedService(part.service, part.weight) for part in row.traffic_split or ()
     )
     if not parts:
         if row.service is None:
             raise ValueError(f"route {row.name!r} leads to no service")
-        parts = (RoutePart(row.service),)
+        parts = (WeightedService(row.service),)
     return HostRoute(
         name=row.name,
         host=row.host.lower(),
--- a/src/wagtailstep/utils/logging.py
+++ b/src/wagtailstep/utils/logging.py
@@ -11,7 +11,7 @@
 ROUTINE_LINES_PER_S = 10
 # POSIX promises that a pipe which is ready takes as much without waiting.
 MAX_LINE_BYTES = 4_096
-STDOUT = 1
+STDOUT_FD = 1
 _QUOTED_CHARACTERS = set(' "=\n\r\t')
 
 
@@ -30,7 +30,7 @@
     return f'"{escaped}"'
 
 
-class EventText:
+class LazyEventText:
     """Text of an event that is only written if its line is.
 
     :param fields: the fields of the line.
@@ -58,7 +58,7 @@
     :param fields: what belongs to it; units go into the names of the fields.
     """
     if logger.isEnabledFor(level):
-        text = EventText({"event": event, **fields})
+        text = LazyEventText({"event": event, **fields})
         logger.log(level, text, extra={"routine": routine})
 
 
@@ -88,25 +88,25 @@
         self.poll.register(fd, select.POLLOUT)
         self.second = -1
         self.routine_lines = 0
-        self.left_out = 0
+        self.omitted = 0
         self.dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write one line, or count it."""
-        if getattr(record, "routine", False) and not self.take_routine():
-            self.left_out += 1
+        if getattr(record, "routine", False) and not self.try_acquire_routine_line():
+            self.omitted += 1
             return
         try:
             line = self.format(record)
         except Exception:
             self.handleError(record)
             return
-        if self.left_out or self.dropped:
-            self.tell_missing(record)
+        if self.omitted or self.dropped:
+            self.report_missing_lines(record)
         if not self.write(line):
             self.dropped += 1
 
-    def take_routine(self) -> bool:
+    def try_acquire_routine_line(self) -> bool:
         """Tell whether one more routine line may be written in this second."""
         second = int(self.read_seconds())
         if second != self.second:
@@ -115,11 +115,11 @@
         self.routine_lines += 1
         return self.routine_lines <= self.routine_per_s
 
-    def tell_missing(self, record: logging.LogRecord) -> None:
+    def report_missing_lines(self, record: logging.LogRecord) -> None:
         """Write how many lines are missing before this one."""
         fields = {
             "event": "lines-left-out",
-            "routine": self.left_out,
+            "routine": self.omitted,
             "dropped": self.dropped,
         }
         missing = logging.LogRecord(
@@ -127,7 +127,7 @@
         )
         missing.created, missing.msecs = record.created, record.msecs
         if self.write(self.format(missing)):
-            self.left_out = self.dropped = 0
+            self.omitted = self.dropped = 0
 
     def write(self, line: str) -> bool:
         """Write a line if the reader has room for it.
@@ -153,7 +153,7 @@
 
     :param level: name of a level of the :mod:`logging` module.
     """
-    handler = BoundedHandler(STDOUT)
+    handler = BoundedHandler(STDOUT_FD)
     handler.setFormatter(
         logging.Formatter(
             "time=%(asctime)s.%(msecs)03dZ level=%(levelname)s "
