--- a/src/wagtailstep/exceptions.py
+++ b/src/wagtailstep/exceptions.py
@@ -1,4 +1,4 @@
-"""The family of errors. Each says what happened and what to do about it."""
+"""Exceptions of the package. Messages say what happened and what to do about it."""
 
 from datetime import timedelta
 
@@ -13,11 +13,11 @@
 
 
 class SettingsError(WagtailstepError):
-    """A setting or argument is wrong; the message names key, value and allowed."""
+    """A setting or argument is invalid; the message names it and what is allowed."""
 
 
 class DecodeError(WagtailstepError):
-    """Bytes from a peer or from the log are not a known message."""
+    """Bytes from a peer or the log could not be decoded as a registered message."""
 
 
 class LogError(WagtailstepError):
@@ -25,15 +25,15 @@
 
 
 class LogUnavailableError(LogError):
-    """The log service could not be reached; an append certainly had no effect."""
+    """The log service is unavailable; an append was definitely not applied."""
 
 
 class AppendUnknownError(LogError):
-    """An append was sent and not acknowledged; it may have taken effect."""
+    """An append was sent but not acknowledged; it may have been applied."""
 
 
 class RecordExpiredError(LogError):
-    """The offset asked for lies before the oldest retained record.
+    """The requested offset is older than the oldest retained record.
 
     :param oldest: the oldest offset that can still be read.
     """
@@ -44,20 +44,21 @@
 
 
 class RequestError(WagtailstepError):
-    """A request ended without an answer of a backend server.
+    """A request ended without a response from a backend server.
 
     :param message: what happened and what the caller can do.
     :param verdict: whether a backend server may have run the request.
     :param status: HTTP status code for the caller.
-    :param retry_after: when the caller may come back, or ``None``.
+    :param retry_after: time after which the caller may retry, or ``None``.
 
-    ``blame`` says what the failure speaks against; whoever knows better sets it.
+    ``blame`` names the component that the failure is attributed to. The class sets
+    the default; code that knows the actual cause overrides it on the instance.
     """
 
     status = 502
     reason = "request-failed"
     blame = Blame.NONE
-    # Whether a backend server got the request, even if it turned it away.
+    # Whether a backend server received the request, even if it rejected it.
     reached_server = False
 
     def __init__(
@@ -75,12 +76,12 @@
 
     @property
     def may_have_been_received(self) -> bool:
-        """Tell whether a backend server may have got the request."""
+        """Return whether a backend server may have received the request."""
         return self.reached_server or self.verdict is not Verdict.NOT_RUN
 
 
 class BadRequestError(RequestError):
-    """The request itself is wrong; resending it unchanged is useless."""
+    """The request is invalid; resending it unchanged would fail again."""
 
     status = 400
     reason = "bad-request"
@@ -91,14 +92,14 @@
 
 
 class BodyTooLargeError(BadRequestError):
-    """The body is longer than the table allows; send a shorter one."""
+    """The request body exceeds the limit set in the table; send a shorter one."""
 
     status = 413
     reason = "body-too-large"
 
 
 class OverloadedError(RequestError):
-    """A limit was reached and the request was refused before it ran."""
+    """A limit was reached and the request was rejected before it ran."""
 
     status = 503
     reason = "overloaded"
@@ -118,14 +119,14 @@
 
 
 class NotExecutedError(OverloadedError):
-    """The backend server says that it turned the request away unexecuted."""
+    """The backend server rejected the request and states that it did not run it."""
 
     reason = "not-executed"
     reached_server = True
 
 
 class TemporaryRefusalError(RequestError):
-    """The request was refused before it ran, and may be welcome in a second."""
+    """The request was rejected before it ran; a retry may soon succeed."""
 
     status = 503
 
@@ -136,31 +137,31 @@
 
 
 class LeavingError(TemporaryRefusalError):
-    """The backend server or daemon is leaving and takes no new request."""
+    """The backend server or daemon is shutting down and accepts no new requests."""
 
     reason = "leaving"
 
 
 class NotReadyError(TemporaryRefusalError):
-    """This daemon has just started and takes no request yet."""
+    """This daemon is still starting and accepts no requests yet."""
 
     reason = "not-ready"
 
 
 class NoTargetError(TemporaryRefusalError):
-    """No backend server of the service can take the request now."""
+    """No backend server of the service can currently accept the request."""
 
     reason = "no-target"
 
 
 class DoubtedTargetError(TemporaryRefusalError):
-    """The gate has come to doubt the backend server since the entry chose it."""
+    """The gate lowered its backend server's standing after the entry had chosen it."""
 
     reason = "doubted"
 
 
 class ConnectionFailedError(RequestError):
-    """A connection could not be used; the verdict says if bytes had been sent."""
+    """A connection failed; the verdict says whether any bytes had been sent."""
 
     status = 502
     reason = "connection-failed"
@@ -168,7 +169,7 @@
 
 
 class TruncatedAnswerError(RequestError):
-    """The answer ended before it was whole."""
+    """The response ended before it was complete."""
 
     status = 502
     reason = "truncated-answer"
@@ -179,10 +180,10 @@
 
 
 class DeadlineExceededError(RequestError):
-    """The time that the caller allowed has passed.
+    """The caller's deadline has passed.
 
-    If the request was not run by then, it waited for a slot, which speaks against
-    no backend server.
+    A request that had not run by then was still waiting for a slot. That is no
+    evidence against a backend server, so it is attributed to overload.
     """
 
     status = 504
@@ -202,7 +203,7 @@
 
 
 class AttemptAbandonedError(RequestError):
-    """An attempt took so long that another one was started in its place."""
+    """An attempt took too long and was replaced by another one."""
 
     reason = "attempt-abandoned"
 
@@ -215,7 +216,7 @@
 
 
 class TableError(WagtailstepError):
-    """An edit of the table is wrong; the message names row, column and allowed."""
+    """A table edit is invalid; the message names row, column and allowed values."""
 
 
 class TableConflictError(TableError):
--- a/src/wagtailstep/models/blackboard.py
+++ b/src/wagtailstep/models/blackboard.py
@@ -1,4 +1,4 @@
-"""What one daemon knows. Controllers read and write it; nobody else writes."""
+"""State of one daemon that its controllers and its runtime share."""
 
 from datetime import datetime, timedelta
 
@@ -12,7 +12,7 @@
 
 @attrs.define
 class InFlight:
-    """Requests of this daemon's entry that have not ended, by what they use.
+    """Counts of the unfinished requests of this daemon's entry.
 
     :param by_target: attempts by ``target_id``.
     :param by_service: requests by service.
@@ -28,33 +28,35 @@
 class Blackboard:
     """The shared state of one daemon.
 
-    Each field names the one controller that writes it.
+    Each field has a single writer, which is named below.
 
     :param this_member: this daemon; written by the membership controller.
     :param table: the table in force; written by the table controller.
-    :param table_known: whether ``table`` is a table of the fleet; before that no
-        request may be taken; written by the table controller.
-    :param table_since: wall-clock time since when ``table`` is in force; written
+    :param table_known: whether ``table`` came from the fleet; until then no request
+        may be accepted; written by the table controller.
+    :param table_since: wall-clock time at which ``table`` came into force; written
         by the table controller.
-    :param members: known daemons by ``daemon_id``, this one too; written by the
+    :param members: known daemons by ``daemon_id``, including this one; written by the
         membership controller.
     :param targets: known targets by ``target_id``, indexed by service; written by
         the dissemination controller.
     :param local_targets: ``target_id`` of backend servers beside this daemon;
         written by the announcement controller.
-    :param health: judgement by ``target_id``; written by the evidence controller.
-    :param ejection_candidates: targets that the evidence of several daemons speaks
-        against, by ``target_id``; written by the evidence controller.
-    :param ejected: ``target_id`` of targets out of service fleet-wide; written by
-        the ejection controller, from the log's order.
-    :param requested_services: services that callers asked this daemon for; written
-        by the routing controller.
-    :param in_flight: written by the routing controller.
+    :param health: assessment by ``target_id``; written by the evidence controller.
+    :param ejection_candidates: targets that are unhealthy by the evidence of several
+        daemons, by ``target_id``; written by the evidence controller.
+    :param ejected: ``target_id`` of targets ejected for the whole fleet; written by the
+        ejection controller from the log of ejections.
+    :param requested_services: services that callers of this daemon requested;
+        written by the routing controller.
+    :param in_flight: unfinished requests; written by the routing controller.
     :param calls_per_run: calls that the backend server beside this daemon makes for
-        each run, by route and called service; written by the call ratios' controller.
-    :param call_refused_at: monotonic time when a call of the backend server beside this
-        daemon was refused last; written by the judge of targets.
-    :param log_reachable: written by the runtime.
+        each request that it runs, by route and called service; written by the call
+        ratio controller.
+    :param call_refused_at: monotonic time of the last refused call made by the backend
+        server beside this daemon; written by the controller that assesses it.
+    :param log_reachable: whether the log service can be reached; written by the
+        runtime.
     :param draining: whether this daemon is shutting down; written by the runtime.
     """
 
--- a/src/wagtailstep/models/claims.py
+++ b/src/wagtailstep/models/claims.py
@@ -1,4 +1,4 @@
-"""Claims on idempotency keys, as records of the log streams ``claims.<service>``."""
+"""Claims on idempotency keys, stored in the log streams ``claims.<service>``."""
 
 import hashlib
 from datetime import timedelta
@@ -15,8 +15,8 @@
 class ClaimEntry:
     """A claim on a key, or the release of one.
 
-    :param key: digest of client account and idempotency key.
-    :param serial: number of the claim, unique within the run of a process.
+    :param key: hash of client account and idempotency key.
+    :param serial: number of the claim, unique within one run of the process.
     :param released: whether the entry releases that claim.
     """
 
@@ -28,10 +28,10 @@
 @message
 @attrs.frozen
 class ClaimBatch:
-    """A record of claims and releases by one daemon, in order.
+    """Log record of claims and releases by one daemon, in order.
 
     :param daemon_id: the daemon.
-    :param boot_id: tells this run of its process from all others of the fleet.
+    :param boot_id: identifies the run of the daemon's process; unique in the fleet.
     :param entries: claims and releases.
     """
 
@@ -42,12 +42,12 @@
 
 @attrs.frozen
 class ClaimHolder:
-    """Who holds a key: the first claim in the log's order not released.
+    """Holder of a key: the first claim in log order that was not released.
 
     :param serial: number of that claim.
     :param daemon_id: the daemon that appended it.
     :param boot_id: run of that daemon's process.
-    :param expires: monotonic time when the log has forgotten the claim, too.
+    :param expires: monotonic time at which the log no longer retains the claim.
     """
 
     serial: int
@@ -62,9 +62,9 @@
 
 
 def digest_key(account: str, key: str) -> bytes:
-    """Return the digest under which a key is claimed.
+    """Return the hash under which a key is claimed.
 
-    Keys of different client accounts are different.
+    The account is part of it, so equal keys of different accounts do not collide.
     """
     digest = hashlib.blake2b(digest_size=KEY_DIGEST_BYTES)
     digest.update(f"{len(account)}:{account}:{key}".encode())
--- a/src/wagtailstep/models/ejection.py
+++ b/src/wagtailstep/models/ejection.py
@@ -1,4 +1,4 @@
-"""Records that take targets out of service for the whole fleet and back."""
+"""Log records that eject targets for the whole fleet and return them to service."""
 
 import attrs
 
@@ -15,25 +15,25 @@
 @message
 @attrs.frozen
 class EjectionClaim:
-    """Take a target out of service, or renew that.
+    """Eject a target, or renew its ejection.
 
-    The claim carries all that it was judged by, so that every reader of the
-    stream comes to the same result without knowing any daemon's view.
+    The claim carries all inputs of the decision, so that every reader of the stream
+    reaches the same result regardless of what it knows itself.
 
     :param claim_id: unique identifier of the claim.
-    :param claimant: ``daemon_id`` of the daemon that answers for the ejection.
+    :param claimant: ``daemon_id`` of the daemon responsible for the ejection.
     :param target_id: the target.
-    :param incarnation: incarnation of the target that was judged.
-    :param reason: symptom and route, for people to read.
-    :param strikes: ejections of this target in a row, this one included.
-    :param weights: weight by ``target_id`` of all targets serving in the
-        claimant's view, ejected ones included.
-    :param out: targets that were out in the claimant's fold.
+    :param incarnation: incarnation of the target that was found unhealthy.
+    :param reason: symptom and route; for display only.
+    :param strikes: consecutive ejections of this target, including this one.
+    :param weights: weight by ``target_id`` of all targets that are serving as far as
+        the claimant knows, including ejected ones.
+    :param out: targets that were ejected by the claimant's fold.
     :param floor: weight that must stay in service, from the claimant's table.
     :param table_version: version of that table.
-    :param basis_offset: first offset of the stream that the claimant had not read.
-    :param settled_offset: first offset that the claimant had not read for at least
-        :data:`wagtailstep.controllers.ejection_state.SETTLE_MS`.
+    :param basis_offset: first offset of the stream that the claimant had not read yet.
+    :param settled_offset: offset before which the claimant had read all records at
+        least :data:`wagtailstep.controllers.ejection_state.SETTLE_MS` earlier.
     """
 
     claim_id: str
@@ -53,11 +53,12 @@
 @message
 @attrs.frozen
 class EjectionReturn:
-    """Put a target back into service.
+    """Return an ejected target to service.
 
     :param target_id: the target.
-    :param daemon_id: the daemon that returns it.
-    :param claim_id: the claim that is ended; ignored once another one took over.
+    :param daemon_id: the daemon that returns the target.
+    :param claim_id: the claim that ends; the record is ignored if another claim has
+        replaced it.
     :param reason: why, in kebab case.
     """
 
@@ -69,14 +70,14 @@
 
 @attrs.frozen
 class Ejection:
-    """A target that is out of service by the fold of its stream.
+    """A target that is ejected according to the fold of its stream.
 
     :param target_id: the target.
-    :param claim_id: identifier of the claim in force, the latest renewal.
-    :param claimant: daemon that answers for it.
-    :param incarnation: incarnation of the target that was judged.
+    :param claim_id: identifier of the claim in force, which is the latest renewal.
+    :param claimant: ``daemon_id`` of the daemon responsible for the ejection.
+    :param incarnation: incarnation of the target that was found unhealthy.
     :param since_offset: offset of the first claim.
-    :param strikes: ejections of this target in a row.
+    :param consecutive_ejections: ejections of this target in a row.
     """
 
     target_id: str
--- a/src/wagtailstep/models/events.py
+++ b/src/wagtailstep/models/events.py
@@ -1,7 +1,7 @@
-"""What happens to a daemon, and what its controllers want done about it.
+"""Events that a daemon handles and effects that its controllers return.
 
-Adapters turn the outside into events; controllers answer with effects, which
-the runtime of the daemon turns into I/O.
+Adapters turn input into events; controllers answer with effects, which the runtime
+of the daemon turns into I/O.
 """
 
 from datetime import datetime, timedelta
@@ -20,9 +20,9 @@
 
 @attrs.frozen
 class PeerMessageReceived:
-    """A message of another daemon arrived.
+    """A message from another daemon arrived.
 
-    :param sender: ``daemon_id`` that the message names as its sender; not proven.
+    :param sender: ``daemon_id`` that the message names as sender; not authenticated.
     :param message: a class registered with :func:`wagtailstep.utils.codec.message`.
     """
 
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class LogRecordsRead:
-    """Records of a followed stream, in order, none left out.
+    """Records of a followed stream, in order and without gaps.
 
     :param stream: name of the stream.
     :param records: the records, oldest first.
@@ -47,7 +47,7 @@
     """Records of a followed stream expired before they were read.
 
     :param stream: name of the stream.
-    :param oldest_offset: where reading goes on.
+    :param oldest_offset: offset at which reading continues.
     """
 
     stream: str
@@ -56,14 +56,14 @@
 
 @attrs.frozen
 class LogCaughtUp:
-    """All records of a followed stream that the log had were delivered.
+    """All records that the log had of a followed stream have been delivered.
 
-    Sent after each read that found the end of the stream, the first one too.
+    Sent after each read that reached the end of the stream, including the first.
 
     :param stream: name of the stream.
-    :param next_offset: offset that the next record will have.
-    :param asked_at: monotonic time when the read was sent; all records appended
-        before it have been dispatched.
+    :param next_offset: offset that the next appended record will have.
+    :param read_sent_at: monotonic time when the read was sent; all records appended
+        before then have been dispatched.
     """
 
     stream: str
@@ -77,7 +77,8 @@
 
     :param append_id: as in the effect.
     :param offset: offset of the record, or ``None``.
-    :param may_have_applied: whether an append without an offset may have applied.
+    :param may_have_applied: whether the append may have been applied although no offset
+        is known.
     """
 
     append_id: str
@@ -94,11 +95,12 @@
 
 @attrs.frozen
 class TargetAnnounced:
-    """The backend server beside this daemon announced or renewed itself.
+    """The backend server beside this daemon sent a first or renewed announcement.
 
-    :param target: the target; ``LEAVING`` if it says that it leaves.
-    :param born: when its process started, in any unit that rises; 0 if unknown.
-    :param sequence: rises with each announcement of a process; 0 if unknown.
+    :param target: the target; its state is ``LEAVING`` if it announced its shutdown.
+    :param process_started: start time of its process, in any unit that increases; 0
+        if unknown.
+    :param sequence: increases with each announcement of a process; 0 if unknown.
     """
 
     target: Target
@@ -108,18 +110,18 @@
 
 @attrs.frozen
 class TargetWithdrawn:
-    """The backend server beside this daemon left or was not renewed in time."""
+    """The backend server beside this daemon left or did not renew in time."""
 
     target_id: str
 
 
 @attrs.frozen
 class InstanceWithdrawn:
-    """A backend server beside this daemon left and told its own name only.
+    """A backend server beside this daemon left and named only its own identifier.
 
-    :param instance_id: what it calls itself.
-    :param service: its service, if it was not announced to this daemon.
-    :param at: when it left, in the unit of ``TargetAnnounced.born``.
+    :param instance_id: the identifier that it announces for itself.
+    :param service: its service, for a server that was not announced to this daemon.
+    :param left_at: when it left, in the unit of ``TargetAnnounced.process_started``.
     """
 
     instance_id: str
@@ -129,7 +131,7 @@
 
 @attrs.frozen
 class GateUnresponsive:
-    """A gate could not be reached to ask about a request that it was sent.
+    """A gate could not be queried about a request that it had been sent.
 
     :param gate_address: ``host:port`` of the gate.
     """
@@ -139,7 +141,7 @@
 
 @attrs.frozen
 class MembersListed:
-    """The registry of members was listed.
+    """The registry of members has been read.
 
     :param addresses: ``host:port`` of control channels by ``daemon_id``.
     """
@@ -159,7 +161,7 @@
 
 @attrs.frozen
 class ListMembers:
-    """Effect: list the registry of members; ends in :class:`MembersListed`."""
+    """Effect: read the registry of members; ends in :class:`MembersListed`."""
 
 
 @attrs.frozen
@@ -179,8 +181,8 @@
     """A :class:`ProbeTarget` effect has ended.
 
     :param target_id: as in the effect.
-    :param succeeded: whether the target answered well in time.
-    :param latency: time the probe took.
+    :param succeeded: whether the target answered in time and with success.
+    :param latency: duration of the probe.
     """
 
     target_id: str
@@ -190,11 +192,11 @@
 
 @attrs.frozen
 class SendToPeer:
-    """Effect: send a message to another daemon, at most once, perhaps never.
+    """Effect: send a message to another daemon; it may get lost, never duplicated.
 
     :param address: ``host:port`` of the peer's control channel.
     :param message: a registered message.
-    :param urgent: whether it goes before routine messages.
+    :param urgent: whether it is sent ahead of messages that are not urgent.
     """
 
     address: str
@@ -206,7 +208,7 @@
 class AppendToLog:
     """Effect: append one record to a stream; ends in :class:`LogAppendFinished`.
 
-    :param append_id: unique identifier for the answer.
+    :param append_id: unique identifier, repeated in the event.
     """
 
     stream: str
@@ -216,10 +218,10 @@
 
 @attrs.frozen
 class FollowStream:
-    """Effect: read a stream from its oldest record on, now and ever after.
+    """Effect: read a stream from its oldest record and keep following it.
 
     :param stream: name of the stream.
-    :param poll_ms: time between two reads; 0 takes it from the settings.
+    :param poll_ms: time between two reads; 0 for the one in the settings.
     """
 
     stream: str
@@ -236,10 +238,10 @@
 
 @attrs.frozen
 class RecordEvent:
-    """Effect: put an event on the time line and into the log output.
+    """Effect: add an event to the timeline and to the log output.
 
     :param kind: name of the event, in kebab case.
-    :param fields: what belongs to it.
+    :param fields: details of the event by name.
     """
 
     kind: str
@@ -247,26 +249,26 @@
 
 
 class Controller(Protocol):
-    """Decide what to do about an event. Controllers do no I/O and never block."""
+    """Decides how to react to events; does no I/O and never blocks."""
 
     def handle(self, event: Any) -> list[Any]:
-        """Take one event and return effects, in order.
+        """Handle one event and return effects, in order.
 
-        Events of a kind that the controller doesn't know are ignored.
+        Events of types that the controller doesn't know are ignored.
         """
 
 
 @attrs.frozen
 class TimelineEvent:
-    """One event on the time line over all processes.
+    """One event on the timeline of all processes.
 
     :param daemon_id: where it happened.
     :param incarnation: incarnation of that daemon.
     :param sequence: position among the events of that incarnation.
-    :param lamport: logical time; an event is later than all that caused it.
-    :param utc: wall-clock time, for people to read.
+    :param lamport: Lamport time; an event has a higher one than all its causes.
+    :param utc: wall-clock time, for display only.
     :param kind: name of the event, in kebab case.
-    :param fields: what belongs to it.
+    :param fields: details of the event by name.
     """
 
     daemon_id: str
--- a/src/wagtailstep/models/evidence.py
+++ b/src/wagtailstep/models/evidence.py
@@ -1,4 +1,4 @@
-"""Evidence on backend servers: what daemons tell each other, and what follows."""
+"""Evidence on the health of backend servers, and the messages that carry it."""
 
 import enum
 from datetime import timedelta
@@ -8,12 +8,12 @@
 
 from wagtailstep.utils.codec import message
 
-# Stands for all routes where waiting requests are counted, whatever they ask for.
+# Route name for counts of waiting requests, which are not kept per route.
 STALL_ROUTE = "*"
 
 
 class Symptom(enum.Enum):
-    """What is wrong with a target."""
+    """How an unhealthy target misbehaves."""
 
     FAILING = "failing"
     SLOW = "slow"
@@ -23,15 +23,17 @@
 
 @attrs.frozen
 class RouteEvidence:
-    """Outcomes that one daemon saw at one target and route since its last digest.
+    """Outcomes that one daemon observed for a target and route since its last digest.
 
     :param target_id: the target.
     :param route: name of the route.
-    :param count: outcomes that speak for or against the backend server.
-    :param failed: those that ended in a failure of the backend server.
-    :param timed: outcomes whose latency was judged.
-    :param slow: those slower than the service's other targets mostly are; on
-        :data:`STALL_ROUTE`, those that found the target to end no request.
+    :param count: number of outcomes that are evidence for or against the backend
+        server.
+    :param failed: how many of ``count`` were failures of the backend server.
+    :param timed: number of outcomes whose latency was assessed.
+    :param slow: how many of ``timed`` were slower than is typical of the service's
+        other targets; on :data:`STALL_ROUTE`, how many found that the target
+        completed no request.
     """
 
     target_id: str
@@ -48,15 +50,15 @@
 @message
 @attrs.frozen
 class EvidenceDigest:
-    """What one daemon saw since its last digest at some targets.
+    """What one daemon observed of some targets since its last digest.
 
-    Rows have the fields of :class:`RouteEvidence` in their order; ``target_id`` is
-    without the service's name.
+    Rows hold the fields of :class:`RouteEvidence` in order; ``target_id`` lacks the
+    name of the service.
 
-    :param daemon_id: the reporter.
-    :param service: the service of all targets named.
-    :param answers: rows that a collector asked for, good or bad.
-    :param alerts: rows told unasked because outcomes were bad.
+    :param daemon_id: the reporting daemon.
+    :param service: the service that all targets belong to.
+    :param answers: rows that a collector requested, good or bad.
+    :param alerts: rows sent without a request because outcomes were bad.
     """
 
     daemon_id: str
@@ -66,27 +68,27 @@
 
 
 def pack_evidence(entry: RouteEvidence) -> EvidenceRow:
-    """Return the row of an entry."""
+    """Convert evidence to a row of a digest."""
     _, _, name = entry.target_id.partition("/")
     _, *rest = attrs.astuple(entry)
     return (name, *rest)
 
 
 def unpack_evidence(service: str, row: EvidenceRow) -> RouteEvidence:
-    """Return the entry of a row."""
+    """Convert a row of a digest to evidence."""
     name, *rest = row
     return RouteEvidence(f"{service}/{name}", *rest)
 
 
 @attrs.frozen
 class EjectionCandidate:
-    """A target that the evidence of several daemons speaks against.
+    """A target that is unhealthy by the evidence of several daemons.
 
     :param target_id: the target.
-    :param symptom: what is wrong with it.
+    :param symptom: how it misbehaves.
     :param route: the route that shows it.
-    :param severity: how far the evidence exceeds its threshold; at least 1.
-    :param since: monotonic time of the judgement.
+    :param severity: ratio of the evidence to its threshold; at least 1.
+    :param since: monotonic time at which it was found unhealthy.
     """
 
     target_id: str
@@ -99,7 +101,7 @@
 @message
 @attrs.frozen
 class EvidenceRequest:
-    """Ask for digests on targets that a collector doubts.
+    """Request digests on targets that a collector suspects of being unhealthy.
 
     :param daemon_id: the collector.
     :param service: the service.
@@ -114,9 +116,9 @@
 @message
 @attrs.frozen
 class UnhealthyNotice:
-    """Tell that the evidence of several daemons speaks against a target.
+    """Notify that a target is unhealthy by the evidence of several daemons.
 
-    :param daemon_id: the collector that judged it.
+    :param daemon_id: the collector that found it unhealthy.
     :param service: the service.
     :param target_id: the target.
     :param symptom: value of a :class:`Symptom`.
--- a/src/wagtailstep/models/exchange.py
+++ b/src/wagtailstep/models/exchange.py
@@ -1,4 +1,4 @@
-"""Requests and answers with streamed bodies, and how one daemon reaches another."""
+"""Requests and responses with streamed bodies, and interfaces to forward them."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from datetime import timedelta
@@ -12,7 +12,7 @@
 from wagtailstep.models.verdict import Verdict
 
 
-async def _close_nothing() -> None:
+async def _noop_close() -> None:
     return None
 
 
@@ -23,9 +23,9 @@
     :param method: HTTP method in capitals.
     :param path: path and query string.
     :param headers: pairs of lower-case name and value.
-    :param body: chunks of the body; reading it applies back-pressure. It raises
-        :class:`wagtailstep.exceptions.BadRequestError` if the caller cut it.
-    :param peer: IP number of the caller; empty if it is not known.
+    :param body: chunks of the body; reading it applies back-pressure. Reading raises
+        :class:`wagtailstep.exceptions.BadRequestError` if the caller truncated it.
+    :param caller_ip: IP address of the caller; empty if it is not known.
     """
 
     method: str
@@ -37,26 +37,26 @@
 
 @attrs.define
 class Answer:
-    """An answer whose body may still be on its way.
+    """A response whose body may still be arriving.
 
     :param status: HTTP status code.
-    :param headers: pairs of lower-case name and value, hop-by-hop ones left out.
-    :param body: chunks of the body. It raises
+    :param headers: pairs of lower-case name and value, without hop-by-hop headers.
+    :param body: chunks of the body. Reading raises
         :class:`wagtailstep.exceptions.TruncatedAnswerError` if it ends early.
     :param verdict: whether a backend server may have run the request.
-    :param close: releases the connection; called once, whole answer or not. An
-        answer closed before its end closes its connection as well.
+    :param close: releases the connection; called exactly once, also after an
+        incomplete response. Closing a response before its end closes the connection.
     """
 
     status: int
     headers: Headers
     body: AsyncIterator[bytes]
     verdict: Verdict
-    close: Callable[[], Awaitable[None]] = _close_nothing
+    close: Callable[[], Awaitable[None]] = _noop_close
 
 
 class Forwarder(Protocol):
-    """Send one attempt at a request to the gate beside a target."""
+    """Sends an attempt of a request to the gate beside a target."""
 
     async def forward(
         self,
@@ -66,29 +66,30 @@
         incoming: IncomingRequest,
         time_left: timedelta,
     ) -> Answer:
-        """Send the request once, never again, and return the answer's head.
+        """Send the request exactly once and return when the response head arrives.
 
-        The answer's body has to end within ``time_left`` as well; one that doesn't
+        The response body also has to end within ``time_left``; otherwise reading it
         raises :class:`wagtailstep.exceptions.TruncatedAnswerError`. Cancelling the
-        call closes the connection, which tells the gate.
+        call closes the connection, which cancels the attempt at the gate.
 
-        :raises RequestError: with the verdict; ``NOT_RUN`` only as a fact.
+        :raises RequestError: with the verdict, which is ``NOT_RUN`` only if that is
+            certain.
         """
 
 
 class Relay(Protocol):
-    """Pass a request on to the entry of another daemon, because of its key."""
+    """Relays a request to the daemon that is in charge of its idempotency key."""
 
     async def relay(
         self, member: Member, incoming: IncomingRequest, time_left: timedelta
     ) -> Answer:
         """Send the request once, headers unchanged, to ``member.gate_address``.
 
-        The other daemon hands it to its ``EntryService.handle``; it tells such a
-        request by its :data:`wagtailstep.models.headers.RELAYED` header. The
-        answer's verdict is that of its :data:`wagtailstep.models.headers.VERDICT`
-        header.
+        The other daemon recognises a relayed request by its
+        :data:`wagtailstep.models.headers.RELAYED` header and passes it to
+        ``EntryService.handle``. The verdict is taken from the
+        :data:`wagtailstep.models.headers.VERDICT` header of the response.
 
-        :raises RequestError: if there is no answer; resending is always safe,
+        :raises RequestError: if there is no response; resending is always safe,
             because the other daemon recognises the key.
         """
--- a/src/wagtailstep/models/fleet.py
+++ b/src/wagtailstep/models/fleet.py
@@ -1,4 +1,4 @@
-"""Daemons and backend servers as the fleet knows them."""
+"""Daemons and backend servers of the fleet, as known to one daemon."""
 
 import enum
 from datetime import timedelta
@@ -7,7 +7,7 @@
 
 
 class TargetState(enum.Enum):
-    """Where a backend server is between its start and its end."""
+    """Stage in the life of a backend server."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -15,10 +15,10 @@
 
 
 class TargetStanding(enum.IntEnum):
-    """How a backend server does its work, as its gate sees it.
+    """How well a backend server performs, as judged by its gate.
 
-    ``DOUBTED`` has failed lately and takes work only where a failure does no harm;
-    ``FAILING`` takes none but what finds out whether it still fails.
+    A ``DOUBTED`` server failed recently and gets only requests whose failure does no
+    harm. A ``FAILING`` one gets only requests that show whether it still fails.
     """
 
     GOOD = 0
@@ -36,12 +36,12 @@
     :param service: name of the service.
     :param daemon_id: identifier of the daemon (gate) beside it.
     :param availability_zone: availability zone of the instance.
-    :param slots: requests that it runs at the same time.
-    :param state: where it is between start and end.
-    :param incarnation: rises with each announcement after a restart.
-    :param standing: what its gate sees of its work.
-    :param address: ``host:port``, known to its gate only; an empty string stands for
-        the one in ``target_id``.
+    :param slots: requests that it runs concurrently.
+    :param state: stage in its life.
+    :param incarnation: increases when it is announced again after a restart.
+    :param standing: how well it performs, as judged by its gate.
+    :param address: ``host:port``, known to its gate only; if empty, the one in
+        ``target_id`` is used.
     """
 
     target_id: str
@@ -56,17 +56,17 @@
 
     @property
     def instance_id(self) -> str:
-        """Return what the backend server calls itself; else its address."""
+        """Return the identifier that the server announced, or else its address."""
         return self.target_id.partition("/")[2]
 
     @property
     def dial_address(self) -> str:
-        """Return ``host:port`` for its gate."""
+        """Return the ``host:port`` that its gate connects to."""
         return self.address or self.instance_id
 
 
 class MemberState(enum.Enum):
-    """What this daemon believes of another daemon."""
+    """State of a member as this daemon knows it."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -79,12 +79,12 @@
     """One daemon.
 
     :param daemon_id: unique name of the daemon, from its settings.
-    :param incarnation: rises with each restart and each refuted suspicion.
+    :param incarnation: increases with each restart and each refuted suspicion.
     :param peer_address: ``host:port`` of its control channel (ZeroMQ).
-    :param gate_address: ``host:port`` where it takes requests of other daemons.
+    :param gate_address: ``host:port`` where it accepts requests of other daemons.
     :param availability_zone: its availability zone, from its settings.
-    :param services: services whose targets it serves or asks for.
-    :param state: what this daemon believes of it.
+    :param services: services that it has targets of or requests the targets of.
+    :param state: its state as this daemon knows it.
     :param serves: those of ``services`` that have a target beside it.
     """
 
@@ -100,13 +100,13 @@
 
 @attrs.define
 class TargetHealth:
-    """Judgement of one target by this daemon, read by the routing controller.
+    """Assessment of one target by this daemon, read by the routing controller.
 
-    :param penalty: factor of at least 1 on the cost of picking the target; 1 is
-        a target in good standing.
-    :param latency: typical time to a whole answer; ``None`` before the first one.
-    :param avoided: whether local picks avoid it, as far as the floor permits.
-    :param ramp: share of its weight in use during slow start, from 0 to 1.
+    :param penalty: factor of at least 1 on the cost of choosing the target; 1 for a
+        healthy target.
+    :param latency: typical time to a complete response; ``None`` before the first.
+    :param avoided: whether this daemon avoids it, as far as the floor permits.
+    :param ramp: fraction of its weight in use during slow start, from 0 to 1.
     """
 
     penalty: float = 1.0
--- a/src/wagtailstep/models/gate.py
+++ b/src/wagtailstep/models/gate.py
@@ -13,19 +13,21 @@
 class GateRequest:
     """A request as the gate sees it.
 
-    :param serial: number given by the gate; unique for its lifetime.
-    :param request_id: identifier made by the entry.
-    :param attempt_id: identifier of this sending of the request.
-    :param target_id: the backend server asked for.
-    :param route: name of the route; service times are learned per route.
+    :param serial: number assigned by the gate; unique within its lifetime.
+    :param request_id: identifier assigned by the entry.
+    :param attempt_id: identifier of this attempt at the request.
+    :param target_id: the requested backend server.
+    :param route: name of the route; service times are estimated per route.
     :param idempotent: whether running it twice does no harm.
     :param deadline: monotonic time when it must have ended.
     :param priority: rank among waiting requests; 0 goes first.
-    :param aim_deadline: monotonic time until which an answer is of full use, if known.
+    :param aim_deadline: monotonic time until which a response meets the latency
+        objective, if known.
     :param arrived_at: monotonic time when it arrived at the gate.
-    :param may_wait: whether it may wait for a slot for longer than a moment; else it
-        is refused.
-    :param expected_standing: standing of the backend server as the entry knew it.
+    :param may_wait: whether it may queue for a slot for more than a brief time; if not,
+        it is refused.
+    :param expected_standing: standing of the backend server that the entry knew of
+        when it chose the target.
     """
 
     serial: int
@@ -43,10 +45,10 @@
 
 
 class RunResult(enum.Enum):
-    """How the backend server dealt with a request that it was sent.
+    """How the backend server handled a request that it was sent.
 
-    ``REFUSED`` is an answer that says it has too much to do. ``ABANDONED`` says
-    nothing of the backend server, since the caller went away or the exchange broke.
+    ``REFUSED`` means that it reported overload. ``ABANDONED`` is no evidence about
+    the backend server, since the caller disconnected or the exchange broke.
     """
 
     ANSWERED = "answered"
@@ -64,10 +66,10 @@
 
 @attrs.frozen
 class GateRequestEnded:
-    """A request that was started has ended.
+    """A request that had been started has ended.
 
     :param serial: as in the request.
-    :param result: how the backend server dealt with it.
+    :param result: how the backend server handled it.
     :param executed: whether the backend server may have run it.
     """
 
@@ -78,7 +80,7 @@
 
 @attrs.frozen
 class GateRequestAbandoned:
-    """The caller of a request went away, or it waited for too long.
+    """The caller of a request disconnected, or the request waited for too long.
 
     :param serial: as in the request; it may be waiting or running.
     """
@@ -87,11 +89,11 @@
 
 
 class AttemptState(enum.Enum):
-    """What a gate knows of one sending of a request.
+    """What a gate knows of one attempt at a request.
 
     ``REVOKED`` means that it had not arrived and is refused if it ever does, so it
-    was not run and never will be. ``HELD`` waits or runs. ``ENDED`` was answered,
-    or broken off after it had been started.
+    was not run and never will be. ``HELD`` means queued or running. ``ENDED`` means
+    that it was answered, or cancelled after it had been started.
     """
 
     REVOKED = "revoked"
@@ -101,14 +103,14 @@
 
 @attrs.frozen
 class AttemptRevocationRequested:
-    """An entry has heard nothing of an attempt and asks to bar it."""
+    """An entry received no response to an attempt and requests its revocation."""
 
     attempt_id: str
 
 
 @attrs.frozen
 class ReportAttemptState:
-    """Effect: the answer to :class:`AttemptRevocationRequested`."""
+    """Effect: answer an :class:`AttemptRevocationRequested`."""
 
     state: AttemptState
 
@@ -125,7 +127,7 @@
     """Effect: end a request that was not started.
 
     :param serial: as in the request.
-    :param error: the refusal for the caller.
+    :param error: the error that the caller gets.
     """
 
     serial: int
@@ -133,11 +135,12 @@
 
 
 class WorkResult(enum.Enum):
-    """How a backend server did one piece of work, as its gate saw it.
+    """How a backend server handled one request, as observed by its gate.
 
-    ``FAILED`` is an answer that says so. ``BROKEN`` is none, or one that can't be
-    used. ``LATE`` was not answered by its deadline, or with a time-out.
-    ``UNREACHABLE`` could not be sent. ``TURNED_AWAY`` was refused unexecuted.
+    ``FAILED`` is a response that reports a failure. ``BROKEN`` is an unusable or
+    missing response. ``LATE`` means no response by the deadline, or one that reports
+    a time-out. ``UNREACHABLE`` means that the request could not be sent, and
+    ``TURNED_AWAY`` that it was refused without being run.
     """
 
     DONE = "done"
@@ -152,7 +155,7 @@
 class WorkStarted:
     """A request was sent to the backend server beside this daemon.
 
-    :param serial: number given by the gate.
+    :param serial: number assigned by the gate.
     """
 
     serial: int
@@ -162,7 +165,7 @@
 
 @attrs.frozen
 class ResponseWaitEnded:
-    """A backend server has begun to answer, or will not.
+    """The wait for a response has ended: it has begun, or will not come.
 
     :param serial: as in :class:`WorkStarted`.
     """
@@ -172,7 +175,7 @@
 
 @attrs.frozen
 class LocalCall:
-    """The backend server beside this daemon called a service.
+    """The backend server beside this daemon sent a request to a service.
 
     :param service: the service.
     """
@@ -182,10 +185,10 @@
 
 @attrs.frozen
 class LocalCallFailed:
-    """A call of the backend server beside this daemon got a failure.
+    """A request sent by the backend server beside this daemon failed.
 
-    :param path: path of the call.
-    :param refused: whether it was refused, for want of room at the called service.
+    :param path: path of the request.
+    :param refused: whether it was refused because the called service is overloaded.
     """
 
     path: str
@@ -194,13 +197,13 @@
 
 @attrs.frozen
 class WorkEnded:
-    """A backend server has ended a request, well or not.
+    """A backend server has finished a request, with or without success.
 
     :param target_id: the backend server.
     :param route: name of the route.
     :param idempotent: whether the request may run more than once.
     :param result: how it ended.
-    :param took: time from sending to the end of the answer.
+    :param duration: time from sending the request to the end of the response.
     """
 
     target_id: str
--- a/src/wagtailstep/models/headers.py
+++ b/src/wagtailstep/models/headers.py
@@ -1,4 +1,4 @@
-"""Names of the HTTP headers that carry a request through the fleet."""
+"""Names of the HTTP headers that daemons use, and functions to edit headers."""
 
 from collections.abc import Iterable
 
@@ -28,14 +28,14 @@
 IDEMPOTENCY_KEY = "idempotency-key"
 RETRY_AFTER = "retry-after"
 TRACEPARENT = "traceparent"
-# Set on what backend servers get.
+# Set on requests to backend servers.
 CALLER_SERVICE = "wagtailstep-caller-service"
 EXPECTED_INSTANCE = "wagtailstep-expected-instance"
-# Set by backend servers.
+# Set by backend servers on responses.
 NOT_EXECUTED = "wagtailstep-not-executed"
 FLEET_PREFIX = "wagtailstep-"
 
-# Only daemons may set these on an answer.
+# Only daemons may set these on a response.
 DAEMON_ANSWER_HEADERS = frozenset(
     {
         VERDICT,
@@ -51,14 +51,14 @@
         RETRY_AFTER_MS,
     }
 )
-# These tell the entry about the gate and mean nothing to a caller.
+# These inform the entry about the gate; they are not forwarded to callers.
 GATE_ANSWER_HEADERS = frozenset(
     {GATE_ID, QUEUEING_MS, LOAD, CALLS, CALL_REFUSED, BLAME}
 )
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"})
 
-# RFC 9110 section 7.6.1: these belong to one connection and are never passed on.
+# RFC 9110 section 7.6.1: these belong to one connection and are never forwarded.
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -86,7 +86,7 @@
 
 
 def read_int_header(headers: Headers, name: str) -> int | None:
-    """Return the value of a header that holds a whole number, if it does."""
+    """Return the value of a header as an integer, or ``None`` if it is not one."""
     value = find_header(headers, name) or ""
     return int(value) if value.isascii() and value.isdigit() else None
 
@@ -97,9 +97,9 @@
 
 
 def remove_hop_by_hop(headers: Headers) -> Headers:
-    """Return the headers that may be passed on to the next hop.
+    """Return the headers that may be forwarded to the next hop.
 
-    Names listed in ``Connection`` are left out as well, as RFC 9110 asks.
+    Headers listed in ``Connection`` are removed as well, as RFC 9110 requires.
     """
     listed = {
         token.strip().lower()
@@ -111,10 +111,10 @@
 
 
 def build_forwarded_headers(headers: Headers) -> Headers:
-    """Return a caller's headers for the next hop, framed for a body sent again.
+    """Return the headers to forward with a request to the next hop.
 
-    A chunked body is chunked anew, so that framing is kept; ``Expect`` is each hop's
-    own affair.
+    A body that arrived chunked is also sent chunked. ``Expect`` is removed, since
+    each hop negotiates it separately.
     """
     kept = remove_headers(remove_hop_by_hop(headers), frozenset({"expect"}))
     if find_header(headers, "transfer-encoding") is not None:
@@ -128,7 +128,7 @@
 
 
 def replace_headers(headers: Headers, *replacements: tuple[str, str]) -> Headers:
-    """Return headers in which some names have exactly one, new value.
+    """Return the headers with all values of some names replaced by one new value.
 
     :param headers: pairs of lower-case name and value.
     :param replacements: the new pairs of lower-case name and value.
--- a/src/wagtailstep/models/host_routes.py
+++ b/src/wagtailstep/models/host_routes.py
@@ -1,4 +1,4 @@
-"""Routes that callers reach by host and path, as an approved table holds them."""
+"""Routes of an approved table, selected by host and path."""
 
 import enum
 from collections.abc import Iterable
@@ -8,9 +8,9 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated on a route.
+    """Whether requests of a route are idempotent.
 
-    ``UPLOAD`` is a non-idempotent route with large bodies.
+    ``UPLOAD`` is a non-idempotent route with large request bodies.
     """
 
     SAFE = "safe"
@@ -19,16 +19,16 @@
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether a request of this kind may run more than once."""
+        """Return whether a request of this kind may run more than once."""
         return self is RouteKind.SAFE
 
 
 @attrs.frozen
 class WeightedService:
-    """One service that takes a share of a route's requests.
+    """A service that gets a share of a route's requests.
 
     :param service: name of the service.
-    :param weight: its share, relative to the other parts.
+    :param weight: its share, relative to the weights of the route's other services.
     """
 
     service: str
@@ -42,12 +42,12 @@
     :param name: name of the route; unique.
     :param host: value of the ``Host`` header, without a port, in lower case.
     :param path_prefix: begins and ends with a slash.
-    :param kind: what may be repeated.
-    :param timeout: longest time that a caller is kept waiting.
-    :param aim: time within which an answer is of full use to the caller.
+    :param kind: whether its requests are idempotent.
+    :param timeout: longest time that a caller has to wait for a response.
+    :param aim: latency objective, the time within which callers should get a response.
     :param priority: rank among the routes of a service; 0 goes first.
-    :param max_attempts: targets that one request may be sent to.
-    :param parts: services that share the requests; at least one.
+    :param max_attempts: highest number of targets that one request is sent to.
+    :param parts: services that the requests are split between; at least one.
     """
 
     name: str
@@ -62,7 +62,7 @@
 
 
 class HostRoutes:
-    """The routes of a table, found by host and longest path prefix.
+    """The routes of a table, looked up by host and longest path prefix.
 
     :param routes: the routes.
     """
@@ -73,7 +73,7 @@
             self.by_host.setdefault(route.host, {})[route.path_prefix] = route
 
     def __bool__(self) -> bool:
-        """Tell whether there is any route."""
+        """Return whether there is any route."""
         return bool(self.by_host)
 
     def __iter__(self) -> Iterable[HostRoute]:
@@ -82,15 +82,16 @@
             yield from routes.values()
 
     def find(self, host: str, path: str) -> HostRoute | None:
-        """Return the route of a request, or ``None`` if there is none.
+        """Return the route that matches a request, or ``None``.
 
         :param host: value of the ``Host`` header; a port is ignored.
-        :param path: path, perhaps with a query string.
+        :param path: path, with or without a query string.
         """
         routes = self.by_host.get(host.partition(":")[0].lower())
         if routes is None:
             return None
-        # Cutting the path at its slashes costs its depth, not the number of routes.
+        # Look up each prefix that ends in a slash, longest first: the cost depends on
+        # the depth of the path instead of the number of routes.
         prefix = path.partition("?")[0]
         while prefix:
             prefix = prefix[: prefix.rfind("/") + 1]
@@ -101,5 +102,5 @@
         return None
 
     def services(self) -> set[str]:
-        """Return the services that the routes lead to."""
+        """Return the services that the routes send requests to."""
         return {part.service for route in self for part in route.parts}
--- a/src/wagtailstep/models/idempotency.py
+++ b/src/wagtailstep/models/idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency keys and tickets, and what is decided about a request that has one."""
+"""Idempotency keys, tickets, and decisions on requests that carry one."""
 
 import attrs
 
@@ -11,11 +11,11 @@
 
 @attrs.frozen
 class Ticket:
-    """An idempotency key that only its issuer can run, and only once.
+    """An idempotency key issued by a daemon, which alone may run its request.
 
     :param daemon_id: the daemon that issued it.
     :param incarnation: incarnation of that daemon when it issued the ticket.
-    :param serial: random part that nobody can guess.
+    :param nonce: random part that can't be guessed.
     """
 
     daemon_id: str
@@ -23,16 +23,16 @@
     nonce: str
 
     def __str__(self) -> str:
-        """Return the ticket as callers send it."""
+        """Return the ticket in the form that callers send."""
         return f"{TICKET_PREFIX}.{self.incarnation}.{self.nonce}.{self.daemon_id}"
 
 
 def parse_ticket(key: str) -> Ticket | None:
-    """Read a ticket.
+    """Parse a ticket.
 
     :param key: value of the ``Idempotency-Key`` header.
-    :return: the ticket, or ``None`` for a key of the caller's own making.
-    :raises BadRequestError: if the key begins like a ticket and isn't one.
+    :return: the ticket, or ``None`` if the caller made the key itself.
+    :raises BadRequestError: if the key has the prefix of a ticket but isn't one.
     """
     if not key.startswith(f"{TICKET_PREFIX}."):
         return None
@@ -47,11 +47,11 @@
 
 @attrs.frozen
 class StoredAnswer:
-    """A whole small answer, kept so that a resend gets the same one.
+    """A small complete response, stored so that a repeated request gets the same.
 
     :param status: HTTP status code.
     :param headers: pairs of lower-case name and value.
-    :param body: the whole body.
+    :param body: the complete body.
     """
 
     status: int
@@ -61,9 +61,9 @@
 
 @attrs.frozen
 class RunLocally:
-    """Decision: this daemon runs the request now, and nobody else does.
+    """Decision: this daemon runs the request now, and no other daemon does.
 
-    :param run_id: name of the run, for ``DuplicateGuard.finish``.
+    :param run_id: identifier of the run, for ``DuplicateGuard.finish``.
     """
 
     run_id: str
@@ -71,12 +71,12 @@
 
 @attrs.frozen
 class Wait:
-    """Decision: not made yet; a :class:`RequestDecided` effect brings it."""
+    """Decision: pending; a :class:`RequestDecided` effect will deliver it."""
 
 
 @attrs.frozen
 class RelayToDaemon:
-    """Decision: another daemon decides.
+    """Decision: relay the request to another daemon, which decides.
 
     :param daemon_id: identifier of that daemon.
     """
@@ -86,7 +86,7 @@
 
 @attrs.frozen
 class Replay:
-    """Decision: the request has run before; this is its answer."""
+    """Decision: the request has run before; return its stored response."""
 
     answer: StoredAnswer
 
@@ -103,9 +103,9 @@
 
 @attrs.frozen
 class RequestDecided:
-    """Effect: the decision that an earlier :class:`Wait` left open.
+    """Effect: deliver the decision for a request that got :class:`Wait`.
 
-    :param request_id: the request that waits.
+    :param request_id: the waiting request.
     :param decision: any decision but :class:`Wait`.
     """
 
@@ -115,9 +115,9 @@
 
 @attrs.frozen
 class GuardOutcome:
-    """What the guard decided at once, and what has to be done for it.
+    """The guard's immediate decision and the effects that go with it.
 
-    :param decision: what happens to the request.
+    :param decision: how to proceed with the request.
     :param effects: effects for the runtime.
     """
 
--- a/src/wagtailstep/models/keyed_store.py
+++ b/src/wagtailstep/models/keyed_store.py
@@ -1,4 +1,4 @@
-"""The interface to small collections of records that the platform keeps by key."""
+"""Interface to the platform's keyed store, which holds small collections."""
 
 import enum
 from datetime import timedelta
@@ -20,10 +20,10 @@
 
 @attrs.frozen
 class KeyedRecords:
-    """Records of a collection.
+    """Records read from a collection.
 
     :param values: the newest value by key.
-    :param next_offset: where changes after these records begin.
+    :param next_offset: offset at which later changes begin.
     """
 
     values: dict[str, bytes]
@@ -31,7 +31,7 @@
 
 
 class KeyedStore(Protocol):
-    """Read and write collections. Every call is sent once."""
+    """Reads and writes collections; calls are not retried."""
 
     async def read_newest(self, collection: Collection) -> KeyedRecords:
         """Return all records.
@@ -42,23 +42,23 @@
     async def read_changes(
         self, collection: Collection, offset: int, wait: timedelta
     ) -> KeyedRecords:
-        """Return the records from an offset on, waiting for the first one.
+        """Return the records from an offset on, and wait if there are none yet.
 
-        :param wait: how long the store waits for a record; then there are none.
+        :param wait: longest time that the store waits before it returns no records.
         :raises LogUnavailableError: if the store can't be read now.
-        :raises RecordExpiredError: if changes since ``offset`` are lost.
+        :raises RecordExpiredError: if changes since ``offset`` are no longer retained.
         """
 
     async def put(self, collection: Collection, key: str, value: bytes) -> None:
         """Write a record, or remove it if ``value`` is empty.
 
-        :raises LogUnavailableError: if that certainly had no effect.
-        :raises AppendUnknownError: if it may have taken effect.
+        :raises LogUnavailableError: if the write definitely had no effect.
+        :raises AppendUnknownError: if the write may have taken effect.
         """
 
 
 class NullKeyedStore:
-    """Stands for the store where the platform has none."""
+    """Null object for platforms without a keyed store."""
 
     async def read_newest(self, collection: Collection) -> KeyedRecords:
         """Return no records."""
--- a/src/wagtailstep/models/load_results.py
+++ b/src/wagtailstep/models/load_results.py
@@ -1,4 +1,4 @@
-"""What callers got from a load."""
+"""Results of a load test, as its callers observed them."""
 
 import math
 import statistics
@@ -10,8 +10,8 @@
 MAX_LATENCY_US = 600_000_000
 SIGNIFICANT_DIGITS = 3
 US_PER_MS = 1_000
-# 95 % of a normal distribution lie within this many standard errors; below ten slices
-# the interval is too narrow.
+# 95 % of a normal distribution lie within this many standard errors of the mean. With
+# fewer than ten slices the resulting interval is too narrow.
 Z_SCORE_95 = 1.96
 
 
@@ -19,11 +19,13 @@
 class ClassResult:
     """How the requests of one class ended.
 
-    :param served: answers with success, and ``in_aim`` those of them in time.
-    :param refused: refusals that promise that nothing was run.
-    :param failed: failures, and answers that were cut or did not come.
-    :param gave_up: requests whose callers left.
-    :param latencies: time to the end of served answers, in microseconds.
+    :param asked: number of requests.
+    :param served: successful responses.
+    :param in_aim: successful responses that met the latency objective.
+    :param refused: refusals which guarantee that the request was not run.
+    :param failed: failures, including truncated and missing responses.
+    :param gave_up: requests whose callers disconnected.
+    :param latencies: time to the end of successful responses, in microseconds.
     """
 
     asked: int = 0
@@ -38,18 +40,18 @@
 
     @property
     def goodput(self) -> float:
-        """Return the share answered in aim of those whose callers stayed."""
+        """Return the fraction that met the objective, of requests not given up."""
         stayed = self.asked - self.gave_up
         return self.in_aim / stayed if stayed else 0.0
 
     def add_served(self, latency_ms: float, aim_ms: float) -> None:
-        """Count an answer with success."""
+        """Record a successful response."""
         self.served += 1
         self.in_aim += latency_ms <= aim_ms
         self.latencies.record_value(max(MIN_LATENCY_US, round(latency_ms * US_PER_MS)))
 
     def latency_ms(self, percent: float) -> float:
-        """Return a percentile of the latency of served requests."""
+        """Return a percentile of the latency of successful responses."""
         return self.latencies.get_value_at_percentile(percent) / US_PER_MS
 
     def add(self, other: "ClassResult") -> None:
@@ -65,7 +67,7 @@
 
 @attrs.define
 class SideResult:
-    """What one side answered.
+    """Results of one side of a comparison.
 
     :param name: name of the side.
     :param slices: results by class, for each slice.
@@ -75,7 +77,7 @@
     slices: list[dict[str, ClassResult]] = attrs.field(factory=list)
 
     def total(self) -> dict[str, ClassResult]:
-        """Return the results of all slices together, by class."""
+        """Return the results by class, added up over all slices."""
         totals: dict[str, ClassResult] = {}
         for results in self.slices:
             for name, result in results.items():
@@ -88,18 +90,18 @@
 
 
 def combine_results(results: dict[str, ClassResult]) -> ClassResult:
-    """Return the results of all classes together."""
-    whole = ClassResult()
+    """Return the results added up over all classes."""
+    total = ClassResult()
     for result in results.values():
-        whole.add(result)
-    return whole
+        total.add(result)
+    return total
 
 
 @attrs.frozen
 class GoodputDifference:
-    """By how much the second side is better than the first.
+    """Difference in goodput between the second side and the first.
 
-    :param mean: mean difference of goodput over the slices.
+    :param mean: mean of the difference over the slices.
     :param margin: half of the 95 % interval around it; infinite for one slice.
     """
 
@@ -108,12 +110,12 @@
 
     @property
     def is_significant(self) -> bool:
-        """Tell whether the interval leaves out zero."""
+        """Return whether the interval excludes zero."""
         return abs(self.mean) > self.margin
 
 
 def compare_sides(first: SideResult, second: SideResult) -> GoodputDifference:
-    """Compare two sides slice by slice, as both had the same arrivals."""
+    """Compare two sides slice by slice, since both got the same arrivals."""
     pairs = zip(first.goodputs(), second.goodputs(), strict=True)
     differences = [after - before for before, after in pairs]
     mean = statistics.fmean(differences)
--- a/src/wagtailstep/models/load_settings.py
+++ b/src/wagtailstep/models/load_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a load that is played at one or two systems."""
+"""Settings of a load test of one system, or a comparison of two."""
 
 from typing import Any
 
@@ -19,7 +19,7 @@
 
 
 def check_share(_: Any, attribute: attrs.Attribute, value: float) -> None:
-    """Refuse what is no share.
+    """Reject a value that is not a share from 0 to 1.
 
     :raises SettingValueError: if the value is below 0 or above 1.
     """
@@ -30,7 +30,7 @@
 
 
 def check_not_empty(_: Any, attribute: attrs.Attribute, value: Any) -> None:
-    """Refuse a list without an element.
+    """Reject an empty list.
 
     :raises SettingValueError: if it is empty.
     """
@@ -40,16 +40,16 @@
 
 @attrs.frozen
 class ArrivalSettings:
-    """When requests arrive; they don't wait for one another.
+    """When requests arrive; arrivals don't depend on responses (open loop).
 
     :param rate_per_s: requests a second on average, without a burst.
-    :param shape: ``steady``, ``wave`` (a sine around the rate) or ``burst`` (a higher
-        rate for some time).
-    :param swing: part of the rate by which a wave rises and falls.
+    :param shape: ``steady``, ``wave`` (a sine around the rate) or ``burst`` (a
+        temporarily higher rate).
+    :param swing: amplitude of a wave as a fraction of the rate.
     :param period_s: length of a wave, in seconds.
     :param burst_at_s: when a burst begins in each slice, in seconds.
     :param burst_for_s: how long it lasts, in seconds.
-    :param burst_factor: factor on the rate meanwhile.
+    :param burst_factor: factor on the rate during a burst.
     """
 
     rate_per_s: float = positive(50.0)
@@ -65,22 +65,22 @@
 
 @attrs.frozen
 class LoadClass:
-    """One kind of request.
+    """A class of similar requests.
 
     :param name: its name in reports.
-    :param share: its part of all requests, beside the shares of the others.
-    :param method: HTTP method; ``GET`` may be run twice.
+    :param share: its share of all requests, relative to the shares of other classes.
+    :param method: HTTP method; a ``GET`` request may be run twice.
     :param path: path and query string.
-    :param headers: further headers.
+    :param headers: additional headers.
     :param body_bytes: size of the body.
-    :param aim_ms: an answer until then counts in full, in milliseconds.
-    :param timeout_ms: time that the system is given, in milliseconds.
-    :param give_up_ms: when callers that lose patience close the connection; 0 for
-        never.
-    :param give_up_share: part of the callers that do.
-    :param retries: how often a caller sends a refused request again.
-    :param waits_as_told: whether it waits as ``Retry-After`` says; else it repeats at
-        once, as abusive callers do.
+    :param aim_ms: latency objective, in milliseconds.
+    :param timeout_ms: time allowed to a request, in milliseconds.
+    :param give_up_ms: time after which impatient callers close the connection, in
+        milliseconds; 0 for never.
+    :param give_up_share: fraction of the callers that are impatient.
+    :param retries: how often a caller retries a refused request.
+    :param waits_as_told: whether a caller waits as ``Retry-After`` demands; otherwise
+        it retries at once, as abusive callers do.
     """
 
     name: str = attrs.field(validator=check_name)
@@ -99,7 +99,7 @@
 
 @attrs.frozen
 class LoadSide:
-    """A system that gets the load.
+    """A system under test.
 
     :param name: its name in reports.
     :param addresses: caller addresses of its daemons, ``host:port`` each.
@@ -111,16 +111,17 @@
 
 @attrs.frozen
 class LoadSettings:
-    """A whole load.
+    """A complete load test.
 
-    Each slice is played at one side after the other with the same arrivals, and which
-    one is first alternates, so that a machine whose speed changes favours neither.
+    Each slice is run against one side and then the other with the same arrivals. The
+    order alternates, so that changes in the speed of the machine favour neither side.
 
     :param sides: one system, or two to compare.
-    :param classes: the kinds of requests.
-    :param slices: how often the load is repeated at each side.
+    :param classes: the classes of requests.
+    :param slices: how often the load is repeated for each side.
     :param slice_s: length of a slice, in seconds.
-    :param warmup_s: requests of a slice that arrive before are not measured.
+    :param warmup_s: requests that arrive this early in a slice are not counted, in
+        seconds.
     :param seed: seed of arrivals, classes and choice of daemons.
     """
 
--- a/src/wagtailstep/models/log.py
+++ b/src/wagtailstep/models/log.py
@@ -1,4 +1,4 @@
-"""The interface to the platform's log service."""
+"""Interface to the platform's log service."""
 
 from typing import Protocol
 
@@ -11,8 +11,8 @@
 class LogRecord:
     """One record of a stream.
 
-    :param offset: position in the stream; rises by one.
-    :param data: the record, as appended.
+    :param offset: position in the stream; consecutive records differ by one.
+    :param data: the record as it was appended.
     """
 
     offset: int
@@ -24,7 +24,7 @@
     """Consecutive records of a stream.
 
     :param records: the records, oldest first; may be empty.
-    :param next_offset: where to read on.
+    :param next_offset: offset at which to continue reading.
     :param oldest_offset: oldest offset that is retained.
     """
 
@@ -34,20 +34,20 @@
 
 
 class LogService(Protocol):
-    """Append to and read from streams of the platform's log service."""
+    """Appends to and reads from streams of the platform's log service."""
 
     async def append(self, stream: str, data: bytes) -> int:
         """Append one record and return its offset.
 
-        :raises LogUnavailableError: if the append certainly had no effect.
+        :raises LogUnavailableError: if the append definitely had no effect.
         :raises AppendUnknownError: if the append may have taken effect.
         """
 
     async def read(self, stream: str, offset: int, limit: int = 1000) -> LogBatch:
-        """Read up to ``limit`` records from ``offset`` on; an empty batch at the end.
+        """Read up to ``limit`` records from ``offset`` on; none at the end.
 
         :raises LogUnavailableError: if the log can't be read now.
-        :raises RecordExpiredError: if ``offset`` is older than what is retained.
+        :raises RecordExpiredError: if ``offset`` is before the oldest retained record.
         """
 
     async def oldest_offset(self, stream: str) -> int:
@@ -57,26 +57,28 @@
         """
 
     def close(self) -> None:
-        """Close what is kept open."""
+        """Close all connections."""
 
 
 class NullLogService:
-    """Stands for the log service where the platform has none."""
+    """Null object for platforms without a log service."""
 
     async def append(self, stream: str, data: bytes) -> int:
-        """Append nothing.
+        """Reject the append.
 
         :raises LogUnavailableError: always.
         """
-        raise LogUnavailableError(f"there is no log to append to {stream!r}")
+        raise LogUnavailableError(
+            f"can't append to {stream!r}: this platform has no log service"
+        )
 
     async def read(self, stream: str, offset: int, limit: int = 1000) -> LogBatch:
         """Return no records."""
         return LogBatch((), offset, offset)
 
     async def oldest_offset(self, stream: str) -> int:
-        """Return where a stream begins."""
+        """Return 0, as for a new stream."""
         return 0
 
     def close(self) -> None:
-        """Close nothing."""
+        """Do nothing."""
--- a/src/wagtailstep/models/log_lines.py
+++ b/src/wagtailstep/models/log_lines.py
@@ -1,4 +1,4 @@
-"""Lines of a daemon's log, read back."""
+"""Parsing of the log lines that daemons write."""
 
 import re
 from collections.abc import Iterable, Iterator
@@ -9,17 +9,17 @@
 _FIELD = re.compile(r'([\w-]+)=("(?:[^"\\]|\\.)*"|\S*)')
 _ESCAPED = re.compile(r"\\(.)")
 _ESCAPES = {"n": "\n", "r": "\r", "t": "\t"}
-_STARTS = "time="
+_LINE_START = "time="
 
 
 @attrs.frozen
 class LogLine:
-    """One event that a daemon logged.
+    """One event logged by a daemon.
 
     :param process: name of the daemon.
     :param time: wall-clock time of the daemon.
     :param event: name of the event.
-    :param fields: the fields that belong to it.
+    :param fields: further fields of the line.
     """
 
     process: str
@@ -28,25 +28,25 @@
     fields: dict[str, str] = attrs.field(factory=dict)
 
     def get(self, name: str) -> str:
-        """Return a field, or an empty text."""
+        """Return the value of a field, or an empty string."""
         return self.fields.get(name, "")
 
     @property
     def request_id(self) -> str:
-        """Return the request that the event belongs to, if any."""
+        """Return the identifier of the request, or an empty string."""
         return self.get("request_id")
 
 
 def read_lines(texts: Iterable[str], process: str) -> Iterator[LogLine]:
-    """Read the lines that have a time and an event; others are passed over.
+    """Parse the lines that have a time and an event; others are skipped.
 
-    Collectors often put the name of the process before a line; the last word there
-    that is no number is taken for it.
+    Log collectors often prefix a line with the name of the process. The last word of
+    the prefix that is not a number is taken as that name.
 
-    :param process: name of the daemon where a line doesn't say it.
+    :param process: name of the daemon for lines without such a prefix.
     """
     for text in texts:
-        start = text.find(_STARTS)
+        start = text.find(_LINE_START)
         if start < 0:
             continue
         fields = read_fields(text[start:])
@@ -58,19 +58,19 @@
 
 
 def read_fields(text: str) -> dict[str, str]:
-    """Read what :func:`wagtailstep.utils.logging.format_fields` writes."""
+    """Parse the output of :func:`wagtailstep.utils.logging.format_fields`."""
     return {name: unquote_value(value) for name, value in _FIELD.findall(text)}
 
 
 def unquote_value(value: str) -> str:
-    """Return a value as it was before it was quoted."""
+    """Remove the quotes and escapes of a value, if it has any."""
     if not value.startswith('"'):
         return value
     return _ESCAPED.sub(lambda m: _ESCAPES.get(m[1], m[1]), value[1:-1])
 
 
 def is_number(word: str) -> bool:
-    """Tell whether a word is a number."""
+    """Return whether a word is a number."""
     try:
         float(word)
     except ValueError:
@@ -79,7 +79,7 @@
 
 
 def format_line(line: LogLine) -> str:
-    """Write an event and its fields."""
+    """Format an event and its fields, except level and logger."""
     hidden = {"level", "logger"}
     fields = " ".join(
         f"{name}={value}" for name, value in line.fields.items() if name not in hidden
--- a/src/wagtailstep/models/log_wire.py
+++ b/src/wagtailstep/models/log_wire.py
@@ -1,11 +1,11 @@
-"""Bodies of the log service's HTTP answers, encoded as JSON."""
+"""JSON bodies of the log service's HTTP responses."""
 
 import attrs
 
 
 @attrs.frozen
 class AppendReply:
-    """Answer to an append.
+    """Response to an append.
 
     :param offset: offset of the new record.
     """
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class RecordReply:
-    """One record of a read.
+    """One record in the response to a read.
 
     :param offset: its offset.
     :param data: the record; Base64 in JSON.
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class ReadReply:
-    """Answer to a read; the fields are those of :class:`LogBatch`."""
+    """Response to a read; see :class:`wagtailstep.models.log.LogBatch`."""
 
     records: tuple[RecordReply, ...]
     next_offset: int
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class StreamReply:
-    """Where a stream begins.
+    """Response to a query for the start of a stream.
 
     :param oldest_offset: oldest offset that is retained.
     """
--- a/src/wagtailstep/models/membership.py
+++ b/src/wagtailstep/models/membership.py
@@ -1,7 +1,7 @@
 """Messages between daemons about members and targets.
 
-They are array-like structs instead of attrs classes since attrs classes are
-encoded with the name of every field, which these frequent messages can't afford.
+They are array-like structs because attrs classes are encoded with the names of all
+fields, which would make these frequent messages too long.
 """
 
 from typing import ClassVar
@@ -19,6 +19,7 @@
 from wagtailstep.utils.codec import message
 
 MEMBERS_STREAM = "members"
+# Heartbeats are numbered by the wall-clock time since the epoch below, in this unit.
 HEARTBEAT_UNIT_MS = 100
 HEARTBEAT_EPOCH_MS = 1_577_836_800_000
 AGE_UNIT_MS = 20
@@ -28,16 +29,16 @@
 
 
 class MemberEntry(msgspec.Struct, array_like=True, frozen=True):
-    """All that is known of one daemon.
+    """All data on one daemon.
 
     :param daemon_id: unique name of the daemon.
     :param incarnation: as in :class:`wagtailstep.models.fleet.Member`.
-    :param state: position of the state in :class:`MemberState`.
+    :param state: index of the state in :class:`MemberState`.
     :param peer_address: ``host:port`` of its control channel.
-    :param gate_address: ``host:port`` where it takes requests of other daemons.
+    :param gate_address: ``host:port`` where it accepts requests of other daemons.
     :param availability_zone: its availability zone.
     :param serves: services of the backend servers beside it.
-    :param wants: further services that it asks for.
+    :param requested: other services whose targets it requests.
     """
 
     daemon_id: str
@@ -51,7 +52,7 @@
 
     @classmethod
     def from_member(cls, member: Member) -> "MemberEntry":
-        """Make the entry of a member."""
+        """Build the entry of a member."""
         return cls(
             member.daemon_id,
             member.incarnation,
@@ -64,9 +65,9 @@
         )
 
     def to_member(self) -> Member:
-        """Make the member of an entry.
+        """Build the member of an entry.
 
-        :raises IndexError: if the entry names a state that doesn't exist.
+        :raises IndexError: if there is no state with the index in the entry.
         """
         return Member(
             daemon_id=self.daemon_id,
@@ -81,11 +82,11 @@
 
 
 class MemberChange(msgspec.Struct, array_like=True, frozen=True):
-    """A new state of a daemon, without what the receiver knows of it anyway.
+    """A new state of a daemon, without the data that receivers already have.
 
     :param daemon_id: unique name of the daemon.
-    :param incarnation: the incarnation that the state is about.
-    :param state: position of the state in :class:`MemberState`.
+    :param incarnation: the incarnation that the state applies to.
+    :param state: index of the state in :class:`MemberState`.
     """
 
     daemon_id: str
@@ -94,26 +95,26 @@
 
     @classmethod
     def from_member(cls, member: Member) -> "MemberChange":
-        """Make the change that tells a member's state."""
+        """Build the change that carries a member's state."""
         return cls.from_state(member.daemon_id, member.incarnation, member.state)
 
     @classmethod
     def from_state(
         cls, daemon_id: str, incarnation: int, state: MemberState
     ) -> "MemberChange":
-        """Make the change that tells a state of a daemon."""
+        """Build the change that carries a state of a daemon."""
         return cls(daemon_id, incarnation, _STATES.index(state))
 
     def member_state(self) -> MemberState:
         """Return the state.
 
-        :raises IndexError: if the change names a state that doesn't exist.
+        :raises IndexError: if there is no state with the index in the change.
         """
         return _STATES[self.state]
 
 
 class MemberUpdates(msgspec.Struct, array_like=True, frozen=True):
-    """News of members that travels on other messages.
+    """Updates on members, piggybacked on other messages.
 
     :param entries: new or restarted daemons, and changed services.
     :param changes: changed states.
@@ -125,7 +126,7 @@
 
 @message
 class Ping(msgspec.Struct, array_like=True, frozen=True):
-    """Ask a daemon to answer with :class:`Ack`.
+    """Request an :class:`Ack` from a daemon.
 
     :param sequence: repeated in the answer.
     :param reply_to: ``host:port`` of the control channel for the answer.
@@ -143,7 +144,7 @@
     """Answer to a ping.
 
     :param sequence: as in the ping.
-    :param known: number of daemons, dead ones left out, that the sender knows.
+    :param known_count: number of daemons that the sender knows, except dead ones.
     """
 
     wire_name: ClassVar[str] = "A"
@@ -155,10 +156,10 @@
 
 @message
 class PingRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Ask a daemon to ping a third one and to pass the answer on.
+    """Ask a daemon to ping a third one and to forward the answer.
 
-    :param sequence: repeated in the :class:`Ack` to the daemon that asks.
-    :param reply_to: ``host:port`` of the daemon that asks.
+    :param sequence: repeated in the :class:`Ack` to the requesting daemon.
+    :param reply_to: ``host:port`` of the requesting daemon.
     :param target_address: ``host:port`` of the third daemon.
     """
 
@@ -170,10 +171,10 @@
 
 @message
 class MembersRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Introduce the sender and ask for a page of the member table.
+    """Introduce the sender and request a page of the member table.
 
     :param requester: the sender.
-    :param after: entries with names after this one are asked for.
+    :param after: the page starts after this ``daemon_id``.
     """
 
     requester: MemberEntry
@@ -182,12 +183,12 @@
 
 @message
 class MembersPage(msgspec.Struct, array_like=True, frozen=True):
-    """A page of the member table, in the order of names.
+    """A page of the member table, ordered by ``daemon_id``.
 
     :param start: ``after`` of the request.
-    :param entries: the page.
-    :param after: where the next page starts; empty after the last page.
-    :param known: number of daemons, dead ones left out, that the sender knows.
+    :param entries: the members on the page.
+    :param after: ``after`` for the next page; empty if this is the last one.
+    :param known_count: number of daemons that the sender knows, except dead ones.
     """
 
     start: str
@@ -198,7 +199,7 @@
 
 @message
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
-    """Record in the log's stream of members: a daemon that others may ask first.
+    """Log record that names a daemon through which others can join the fleet.
 
     :param daemon_id: unique name of the daemon.
     :param peer_address: ``host:port`` of its control channel.
@@ -209,12 +210,12 @@
 
 
 class TargetEntry(msgspec.Struct, array_like=True, frozen=True):
-    """One target of the daemon that the message is about.
+    """One target in a :class:`TargetsUpdate`.
 
     :param target_id: as in :class:`wagtailstep.models.fleet.Target`.
-    :param slots: requests that it runs at the same time.
-    :param state: position of the state in :class:`TargetState`.
-    :param incarnation: rises with each announcement after a restart.
+    :param slots: requests that it runs concurrently.
+    :param state: index of the state in :class:`TargetState`.
+    :param incarnation: increases when it is announced again after a restart.
     :param standing: value of :class:`TargetStanding`.
     """
 
@@ -226,7 +227,7 @@
 
     @classmethod
     def from_target(cls, target: Target) -> "TargetEntry":
-        """Make the entry of a target."""
+        """Build the entry of a target."""
         state = _TARGET_STATES.index(target.state)
         return cls(
             target.target_id, target.slots, state, target.incarnation, target.standing
@@ -238,12 +239,12 @@
         return self.target_id.partition("/")[0]
 
     def to_target(self, daemon_id: str, availability_zone: str) -> Target:
-        """Make the target of an entry.
+        """Build the target of an entry.
 
-        :raises IndexError: if the entry names a state that doesn't exist.
+        :raises IndexError: if the entry has an unknown state or standing.
         """
         if not 0 <= self.standing < len(TargetStanding):
-            raise IndexError(f"no standing {self.standing}")
+            raise IndexError(f"unknown standing {self.standing}")
         return Target(
             target_id=self.target_id,
             service=self.service,
@@ -260,8 +261,8 @@
 class Digest(msgspec.Struct, array_like=True, frozen=True):
     """Heartbeats of daemons; each renews the leases of that daemon's targets.
 
-    :param base: heartbeat that the rows count from.
-    :param rows: four numbers for each daemon: its reference, its heartbeat less
+    :param base: heartbeat that the rows are relative to.
+    :param rows: four numbers for each daemon: its reference, its heartbeat minus
         ``base``, the age of the heartbeat in units of ``AGE_UNIT_MS``, and the
         version of its targets.
     """
@@ -274,10 +275,10 @@
 
 @message
 class DigestRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Ask for the newest heartbeats of some daemons.
+    """Request the newest heartbeats of some daemons.
 
     :param reply_to: ``host:port`` of the control channel for the :class:`Digest`.
-    :param references: references of the daemons.
+    :param references: the daemons, by :func:`member_reference`.
     """
 
     wire_name: ClassVar[str] = "Q"
@@ -288,11 +289,11 @@
 
 @message
 class TargetsRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Ask for the targets beside one daemon.
+    """Request the targets beside one daemon.
 
     :param reply_to: ``host:port`` for the :class:`TargetsUpdate`.
     :param daemon_id: the daemon that the targets are beside.
-    :param services: services asked for.
+    :param services: the requested services.
     """
 
     reply_to: str
@@ -306,13 +307,13 @@
 
     :param daemon_id: the daemon that they are beside.
     :param availability_zone: its availability zone.
-    :param beat: heartbeat of that daemon when the targets were so.
+    :param heartbeat: heartbeat of that daemon at which it had these targets.
     :param age_ms: age of that heartbeat in milliseconds.
     :param version: version of the targets, as in digests.
-    :param services: the services that are covered; a service without a target in
-        ``targets`` has none beside this daemon.
+    :param services: the services that are covered; one without an entry in
+        ``targets`` has no target beside this daemon.
     :param targets: the targets.
-    :param urgent: whether receivers pass it on at once.
+    :param urgent: whether receivers propagate it at once.
     """
 
     daemon_id: str
@@ -326,5 +327,5 @@
 
 
 def member_reference(daemon_id: str) -> int:
-    """Return the 32-bit number that stands for a daemon in digests."""
+    """Return the 32-bit hash that identifies a daemon in digests."""
     return xxhash.xxh32_intdigest(daemon_id.encode())
--- a/src/wagtailstep/models/packed_rows.py
+++ b/src/wagtailstep/models/packed_rows.py
@@ -1,4 +1,4 @@
-"""A compact mapping for the many rows of the table that hold one number each."""
+"""A compact mapping for the many table rows that hold a single number."""
 
 import array
 import bisect
@@ -12,7 +12,7 @@
 
 
 class _KeyView:
-    """The sorted packed keys as a sequence that :mod:`bisect` can search."""
+    """Read-only view of the sorted, packed keys that :mod:`bisect` can search."""
 
     def __init__(self, blob: bytes, ends: "array.array[int]") -> None:
         self.blob = blob
@@ -44,14 +44,15 @@
 
 
 class PackedRows(MutableMapping[str, _Row], Generic[_Row]):
-    """Rows of one key and one number, in about the space of their keys.
+    """Rows of a key and a number that need little more memory than their keys.
 
-    Reads give rows in the order of their keys, as UTF-8. Changes gather in a
-    dictionary and are merged into the packed form when they are a share of it.
+    Iteration follows the UTF-8 order of the keys. Changes are collected in a
+    dictionary and merged into the packed form once there are more of them than
+    ``MIN_CHANGES_TO_MERGE`` and ``MERGE_RATIO`` of the packed rows.
 
     :param make_row: builds a row from its key and its number.
-    :param get_number: gives the number of a row.
-    :param rows: the first rows.
+    :param get_number: returns the number of a row.
+    :param rows: keys and numbers of the initial rows.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
         return other
 
     def _pack(self, pairs: Iterable[tuple[bytes, float]]) -> None:
-        """Take over pairs of key and number, sorted by key, one at a time."""
+        """Replace the packed form by pairs of key and number, sorted by key."""
         blob = bytearray()
         ends = array.array("I")
         numbers = array.array("d")
@@ -90,17 +91,17 @@
         self.count = len(numbers)
 
     def load_sorted(self, rows: Iterable[tuple[str, float]]) -> None:
-        """Replace all rows, holding no more than one of them as an object.
+        """Replace all rows, with no more than one of them in memory as an object.
 
-        :param rows: keys and numbers, in the order in which this mapping gives them.
-        :raises ValueError: if they are in another order.
+        :param rows: keys and numbers, in the order of this mapping's iteration.
+        :raises ValueError: if they are in a different order.
         """
         self._pack(_check_sorted((key.encode(), number) for key, number in rows))
 
     def _find_packed(self, key: str) -> float | None:
-        wanted = key.encode()
-        index = bisect.bisect_left(self.packed_keys, wanted)
-        if index < len(self.packed_keys) and self.packed_keys[index] == wanted:
+        encoded = key.encode()
+        index = bisect.bisect_left(self.packed_keys, encoded)
+        if index < len(self.packed_keys) and self.packed_keys[index] == encoded:
             return self.numbers[index]
         return None
 
@@ -127,7 +128,7 @@
         self._pack(sorted(merged.items()))
 
     def numbers_with_prefix(self, prefix: str = "") -> Iterator[tuple[str, float]]:
-        """Yield keys that begin with a prefix, and their numbers, in order."""
+        """Yield the keys that begin with a prefix, with their numbers, in order."""
         start = prefix.encode()
         if not self.changes:
             yield from self._packed_with_prefix(start)
--- a/src/wagtailstep/models/peer.py
+++ b/src/wagtailstep/models/peer.py
@@ -1,4 +1,4 @@
-"""The envelope of all control messages and the channel that carries them."""
+"""Envelope of control messages, and interface of the channel that carries them."""
 
 from collections.abc import Callable
 from typing import ClassVar, Protocol
@@ -10,9 +10,9 @@
 
 @message
 class StampedMessage(msgspec.Struct, array_like=True, frozen=True):
-    """A control message with the logical time at which it was sent.
+    """A control message with the Lamport time at which it was sent.
 
-    :param lamport: logical time of the sender.
+    :param lamport: Lamport time of the sender.
     :param body: an encoded message.
     """
 
@@ -23,10 +23,10 @@
 
 
 class PeerChannel(Protocol):
-    """Carry control messages between daemons: at most once, perhaps never."""
+    """Carries control messages between daemons; they may get lost, not duplicated."""
 
     async def start(self, deliver: Callable[[str, object], None]) -> None:
-        """Begin to receive.
+        """Start to receive messages.
 
         :param deliver: called with the sender's ``daemon_id`` and the message.
         """
@@ -35,8 +35,9 @@
         """Send one message, or drop it; never blocks and never raises.
 
         :param address: ``host:port`` of the receiver's control channel.
-        :param urgent: whether it goes before others that wait for a connection.
+        :param urgent: whether it is sent ahead of other messages that wait for a
+            connection.
         """
 
     async def close(self) -> None:
-        """Stop receiving and drop what was not sent."""
+        """Stop receiving and drop unsent messages."""
--- a/src/wagtailstep/models/published_table.py
+++ b/src/wagtailstep/models/published_table.py
@@ -1,4 +1,4 @@
-"""A table published whole, and its messages between daemons."""
+"""Published table documents, and the messages by which daemons exchange them."""
 
 import attrs
 import msgspec
@@ -8,10 +8,10 @@
 
 @attrs.frozen
 class TableDocument:
-    """One version of the table, as it was published.
+    """One version of the table as it was published.
 
-    :param version: its version; a higher one replaces it.
-    :param data: the document, for the reader of the platform's format.
+    :param version: its version; a higher version replaces it.
+    :param data: the document in the format of the platform.
     """
 
     version: int
@@ -23,7 +23,7 @@
     """A version of the table was read from the platform.
 
     :param document: the document.
-    :param source: where it was read, for logs.
+    :param source: where it was read; for log lines.
     """
 
     document: TableDocument
@@ -32,14 +32,14 @@
 
 @message
 class TableVersionMessage(msgspec.Struct, array_like=True, frozen=True):
-    """Tell which version is in force; -1 for none."""
+    """Report the version in force at the sender; -1 for none."""
 
     version: int
 
 
 @message
 class TableDocumentMessage(msgspec.Struct, array_like=True, frozen=True):
-    """A whole document.
+    """A complete table document.
 
     :param version: as in :class:`TableDocument`.
     :param data: as in :class:`TableDocument`.
--- a/src/wagtailstep/models/request.py
+++ b/src/wagtailstep/models/request.py
@@ -1,4 +1,4 @@
-"""A request on its way through the fleet, and how an attempt at it ended."""
+"""Context of a request, and events for the end of requests and attempts."""
 
 import enum
 from datetime import timedelta
@@ -14,28 +14,30 @@
 
 @attrs.frozen
 class RequestContext:
-    """What the fleet knows of a request, apart from its body.
+    """What is known about a request, apart from its body.
 
-    :param request_id: unique identifier, made by the first daemon.
-    :param service: name of the service asked for.
-    :param route: name of the route; limits and stragglers are judged per route.
+    :param request_id: unique identifier, assigned by the first daemon.
+    :param service: name of the requested service.
+    :param route: name of the route; limits and latencies are tracked per route.
     :param account: client account, or an empty string.
     :param method: HTTP method in capitals.
     :param path: path and query string for the backend server.
     :param idempotent: whether running it twice does no harm.
     :param idempotency_key: the caller's key or ticket, or ``None``.
-    :param deadline: monotonic time of this daemon's clock when it must have ended.
-    :param first_sending: whether the caller says that it never sent the request
-        with this key before.
-    :param relayed: whether another daemon passed it on because of its key.
+    :param deadline: monotonic time, by this daemon's clock, when it must have ended.
+    :param first_sending: whether the caller states that it has not sent a request with
+        this key before.
+    :param relayed: whether another daemon relayed it because of its key.
     :param kind: kind of its route, or ``None`` if the route is not in the table.
-    :param aim: time within which an answer is of full use; zero if unknown.
+    :param aim: latency objective; zero if unknown.
     :param priority: rank among the routes of its service; 0 goes first.
-    :param max_attempts: targets that it may be sent to.
-    :param aim_deadline: monotonic time until which an answer is of full use, if known.
-    :param may_wait: whether a gate may keep it for longer than a moment until a slot
+    :param max_attempts: highest number of targets that it may be sent to.
+    :param aim_deadline: monotonic time until which a response meets the latency
+        objective, if known.
+    :param may_wait: whether a gate may queue it for more than a brief time until a slot
         is free.
-    :param expected_standing: standing of the target as the entry knew it when it chose.
+    :param expected_standing: standing of the target that the entry knew of when it
+        chose the target.
     """
 
     request_id: str
@@ -59,12 +61,12 @@
 
     @property
     def needs_duplicate_guard(self) -> bool:
-        """Return whether its key must keep it from running twice."""
+        """Return whether its key must protect it from running twice."""
         return self.idempotency_key is not None and not self.idempotent
 
 
 class Blame(enum.Enum):
-    """What an outcome speaks against."""
+    """What a failure is attributed to."""
 
     NONE = "none"
     BACKEND_SERVER = "backend-server"
@@ -78,11 +80,11 @@
 class RequestEnded:
     """How a caller's request ended, as an event for the controllers.
 
-    :param service: service asked for; empty if the request could not be read.
+    :param service: requested service; empty if the request could not be parsed.
     :param route: name of its route, or empty.
-    :param outcome: ``status-`` and the status of a backend server's answer, or the
-        reason for which there was none.
-    :param took: time from the head of the request to the head of the answer.
+    :param outcome: ``status-`` and the status code of a backend server's response, or
+        the reason why there was none.
+    :param duration: time from the head of the request to the head of the response.
     """
 
     service: str
@@ -96,12 +98,12 @@
     """How one attempt at a request ended, as an event for the controllers.
 
     :param request: the request.
-    :param target_id: the target that was tried.
+    :param target_id: the target that it was sent to.
     :param verdict: whether the backend server may have run it.
-    :param status: HTTP status of the answer, or ``None`` if there was none.
-    :param blame: what the outcome speaks against.
-    :param latency: time from sending to the head of the answer or the failure.
-    :param queueing: part of ``latency`` spent waiting for a slot at the gate.
+    :param status: HTTP status code of the response, or ``None`` if there was none.
+    :param blame: what a failure is attributed to.
+    :param latency: time from sending to the head of the response or the failure.
+    :param queueing: part of ``latency`` that it waited for a slot at the gate.
     """
 
     request: RequestContext
--- a/src/wagtailstep/models/settings.py
+++ b/src/wagtailstep/models/settings.py
@@ -13,7 +13,7 @@
 
 
 class SettingValueError(SettingsError, ValueError):
-    """A value has the right type and is not allowed.
+    """The value of a setting has the right type but is not allowed.
 
     :param name: name of the setting.
     """
@@ -24,7 +24,7 @@
 
 
 def check_positive(_: Any, attribute: attrs.Attribute, value: float) -> None:
-    """Refuse zero and less.
+    """Reject zero and negative values.
 
     :raises SettingValueError: if the value is not positive.
     """
@@ -35,7 +35,7 @@
 
 
 def check_not_negative(_: Any, attribute: attrs.Attribute, value: float) -> None:
-    """Refuse less than zero.
+    """Reject negative values.
 
     :raises SettingValueError: if the value is negative.
     """
@@ -46,7 +46,7 @@
 
 
 def check_address(_: Any, attribute: attrs.Attribute, value: str) -> None:
-    """Refuse what is not ``host:port``.
+    """Reject a value that is not ``host:port``.
 
     :raises SettingValueError: if the value is not an address.
     """
@@ -58,7 +58,7 @@
 
 
 def check_addresses(instance: Any, attribute: attrs.Attribute, value: Any) -> None:
-    """Refuse a list with an element that is not ``host:port``.
+    """Reject a list with an element that is not ``host:port``.
 
     :raises SettingValueError: if an element is not an address.
     """
@@ -67,9 +67,9 @@
 
 
 def check_name(_: Any, attribute: attrs.Attribute, value: str) -> None:
-    """Refuse an empty name and one with spaces or slashes.
+    """Reject an empty name and one with other than the allowed characters.
 
-    :raises SettingValueError: if the value is not a name.
+    :raises SettingValueError: if the value is not a valid name.
     """
     if not re.fullmatch(r"[A-Za-z0-9._-]+", value):
         raise SettingValueError(
@@ -79,7 +79,7 @@
 
 
 def check_choice(*choices: str) -> Callable[[Any, attrs.Attribute, str], None]:
-    """Return a validator that refuses what is none of some choices.
+    """Return a validator that accepts only the given choices.
 
     The validator raises :class:`SettingValueError`.
     """
@@ -112,35 +112,35 @@
 class RequestSettings:
     """How requests are queued, limited and retried.
 
-    :param default_timeout_ms: time allowed to a request that names no deadline.
-    :param queue_length: requests that may wait at the gate for one target.
-    :param queue_timeout_ms: expected wait at the gate from which on it sheds.
+    :param default_timeout_ms: timeout of a request that sets none.
+    :param queue_length: requests that may queue at the gate for one target.
+    :param queue_timeout_ms: expected queueing time above which the gate sheds load.
     :param retry_ratio: retries allowed per first attempt, on average.
-    :param retry_burst: retries allowed at once when there were none before.
-    :param max_attempts: attempts at one request, the first one included.
+    :param retry_burst: retries allowed at once after a time without retries.
+    :param max_attempts: attempts per request, including the first.
     :param connect_timeout_ms: time to open a connection to a gate.
     :param connection_idle_ms: an idle connection older than this is not reused.
-    :param probe_path: path that a probe of a backend server asks for.
+    :param probe_path: path requested by probes of a backend server.
     :param other_zone_cost: factor on the cost of a target in another availability
         zone; 1 ignores zones.
-    :param other_zone_share: factor on the weight with which such a target is drawn
-        for a first attempt; 1 draws from all zones alike.
-    :param replay_body_bytes: size up to which a request body is kept for a resend.
-    :param account_buckets: client accounts whose rates are remembered at once.
-    :param tickets_kept: tickets and claimed keys that one daemon remembers.
-    :param answer_bytes: size up to which the answer of a keyed request is kept.
-    :param answers_kept_bytes: total size of the kept answers.
-    :param claims_kept: claims that one daemon remembers, all services together.
-    :param unsafe_idle_ms: an idle connection older than this takes no non-idempotent
-        request.
-    :param caller_request_ids: whether callers name their requests, backend servers
-        repeat the name in their answers, and say whether they executed a request.
-    :param trust_slots: whether backend servers run as many requests as they announce
-        and get none but through their gate.
-    :param retry_slack: retries that all daemons together may make for a service in
-        ``retry_window_ms`` beyond ``retry_ratio``; 0 gives each daemon its own
-        ``retry_burst``.
-    :param retry_window_ms: length of any window in which the retries are counted.
+    :param other_zone_share: factor on the weight of such a target in the random choice
+        for a first attempt; 1 ignores zones.
+    :param replay_body_bytes: size up to which a request body is buffered for a retry.
+    :param account_buckets: number of client accounts whose rates are tracked.
+    :param tickets_kept: number of tickets and claimed keys that one daemon stores.
+    :param answer_bytes: size up to which the response to a keyed request is stored.
+    :param answers_kept_bytes: total size of the stored responses.
+    :param claims_kept: number of claims that one daemon stores, over all services.
+    :param unsafe_idle_ms: an idle connection older than this is not used for
+        non-idempotent requests.
+    :param caller_request_ids: whether callers assign request identifiers, and backend
+        servers repeat these in responses and report whether they ran a request.
+    :param trust_slots: whether backend servers can run as many requests as they
+        announce, and get requests only through their gate.
+    :param retry_slack: retries in excess of ``retry_ratio`` that all daemons together
+        may make for a service within ``retry_window_ms``; 0 gives each daemon a
+        ``retry_burst`` of its own instead.
+    :param retry_window_ms: length of the sliding window in which retries are counted.
     """
 
     default_timeout_ms: int = positive(30_000)
@@ -169,24 +169,24 @@
 
 @attrs.frozen
 class MembershipSettings:
-    """How daemons find and watch each other.
+    """How daemons find and monitor each other.
 
-    :param seeds: ``host:port`` control channels to ask first.
-    :param probe_interval_ms: time between two pings of this daemon.
+    :param seeds: ``host:port`` control channels through which to join the fleet.
+    :param probe_interval_ms: time between two pings sent by this daemon.
     :param probe_timeout_ms: time to wait for an answer to a ping.
-    :param suspicion_timeout_ms: time a suspect daemon has to refute.
-    :param lease_ms: a target not renewed for this long has lapsed.
-    :param renew_ms: time between two renewals.
+    :param suspicion_timeout_ms: time that a suspect daemon has to refute suspicion.
+    :param lease_ms: time after which a target lapses if it is not renewed.
+    :param renew_ms: time between two renewals of a daemon's targets.
     :param announce_lease_ms: a backend server beside the daemon that doesn't renew
-        its announcement for this long has left.
-    :param indirect_probes: daemons asked to ping a third one that doesn't answer.
+        its announcement for this long is considered gone.
+    :param indirect_probes: number of daemons asked to ping one that doesn't answer.
     :param rejoin_ms: time between two attempts to reach a seed or a dead daemon.
-    :param dead_retention_s: how long a dead daemon is remembered and tried again.
-    :param digest_fanout: daemons of one service that a heartbeat is sent to in one
-        round; there are three rounds in each ``renew_ms``.
-    :param digest_sends: times that one daemon passes on one heartbeat of another.
-    :param member_append_s: mean time between two appends to the log's stream of
-        members by the whole fleet.
+    :param dead_retention_s: how long a dead daemon stays known and is contacted again.
+    :param digest_fanout: daemons of one service that a heartbeat is sent to in each
+        round; there are three rounds per ``renew_ms``.
+    :param digest_sends: how often a daemon forwards the same heartbeat of another.
+    :param member_append_s: mean time between two appends of the whole fleet to the
+        log's stream of members.
     :param member_source: ``stream`` reads the log's stream of members; ``registry``
         lists a registry that holds one record for each daemon.
     """
@@ -212,7 +212,7 @@
     """Where the log service is and how it is used.
 
     :param address: ``host:port`` of the log service.
-    :param timeout_ms: time allowed to one call.
+    :param timeout_ms: timeout of one call.
     :param poll_ms: time between two reads of a followed stream.
     :param retention_s: how long the log keeps a record.
     """
@@ -225,22 +225,23 @@
 
 @attrs.frozen
 class TableSettings:
-    """How daemons pass the table on and keep it in the log.
+    """How daemons exchange the table and store it in the log.
 
     :param digest_interval_ms: time between two digests to a random member.
-    :param repeat_interval_ms: time between two repetitions of the newest records to
-        a random member, which may be able to hear and unable to ask.
-    :param repeat_bytes: most bytes of older records that go with newer ones.
-    :param push_fanout: random members that a new record is passed on to.
-    :param confirm_timeout_ms: a record read from the log waits this long for a
-        member that holds it too, before it takes effect.
-    :param first_answers: members that a daemon without a table hears first, if
-        the log can't be read.
-    :param first_answers_timeout_ms: after this it goes on with fewer of them.
-    :param reply_bytes: most bytes of records in one message.
-    :param chunk_bytes: bytes of a snapshot in one message.
-    :param chunk_timeout_ms: a chunk that did not come by then is asked for again.
-    :param snapshot_edits: records after the last snapshot that make one due.
+    :param repeat_interval_ms: time between two unsolicited sends of the newest records
+        to a random member, which may be able to receive but not to send requests.
+    :param repeat_bytes: size limit of older records sent along with newer ones.
+    :param push_fanout: number of random members that a new record is sent to.
+    :param confirm_timeout_ms: how long a record read from the log waits for another
+        member to confirm that it holds it too, before the record takes effect.
+    :param first_answers: number of members whose answers a daemon without a table
+        waits for, if the log can't be read.
+    :param first_answers_timeout_ms: time after which it continues with fewer answers.
+    :param reply_bytes: size limit of the records in one message.
+    :param chunk_bytes: size of the part of a snapshot in one message.
+    :param chunk_timeout_ms: time after which a missing chunk is requested again.
+    :param snapshot_edits: number of records after the last snapshot at which the next
+        one is due.
     """
 
     digest_interval_ms: int = positive(1_000)
@@ -267,16 +268,16 @@
     :param peer_address: ``host:port`` of the control channel.
     :param announce_address: loopback ``host:port`` for announcements.
     :param log_level: name of a level of the :mod:`logging` module.
-    :param event_ring_size: events kept in memory for the time line.
-    :param seed: seed of all random choices; ``None`` takes one from the system.
-    :param service: service of the backend server beside the daemon, which backend
-        servers are told as the caller of requests that begin here; may be empty.
-    :param ready_address: ``host:port`` where readiness is asked for; empty for none.
+    :param event_ring_size: number of events kept in memory for the timeline.
+    :param seed: seed of all random choices; ``None`` for one from the system.
+    :param service: service of the backend server beside the daemon. It is reported to
+        backend servers as the caller of requests that enter here; may be empty.
+    :param ready_address: ``host:port`` of the readiness check; empty for none.
     :param metrics_address: ``host:port`` of ``GET /metrics``; empty for none.
     :param shutdown_ms: longest time between SIGTERM and the end of the process; 0
-        takes the drain limits of the table.
-    :param shutdown_notice_ms: time for which the daemon takes new connections after
-        SIGTERM, so that whoever watches its readiness sees it end first.
+        for the drain limits of the table.
+    :param shutdown_notice_ms: time for which the daemon accepts new connections after
+        SIGTERM, so that load balancers first see that it is not ready any more.
     """
 
     daemon_id: str = attrs.field(validator=check_name)
--- a/src/wagtailstep/models/status.py
+++ b/src/wagtailstep/models/status.py
@@ -1,4 +1,4 @@
-"""What a daemon tells about itself."""
+"""Status report of a daemon."""
 
 from collections import Counter
 from datetime import datetime
@@ -10,21 +10,21 @@
 
 @attrs.frozen
 class DaemonStatus:
-    """Answer to ``GET /.wagtailstep/status``.
+    """Response to ``GET /.wagtailstep/status``.
 
     :param daemon_id: name of the daemon.
-    :param incarnation: rises with each restart.
+    :param incarnation: increases with each restart.
     :param availability_zone: its availability zone.
     :param table_version: version of the table in force here.
-    :param table_known: whether it has a table at all.
-    :param table_since_utc: since when that version is in force.
-    :param log_reachable: whether the log service answered last time.
+    :param table_known: whether it has any table.
+    :param table_since_utc: when that version came into force.
+    :param log_reachable: whether the last call of the log service succeeded.
     :param draining: whether it is shutting down.
-    :param members: number of daemons by what is believed of them.
+    :param members: number of daemons by their state as known here.
     :param targets: number of known targets by service.
-    :param ejected: targets out of service for the whole fleet.
+    :param ejected: targets ejected for the whole fleet.
     :param steered: targets that this daemon avoids as far as the floor permits.
-    :param in_flight: requests of its callers that have not ended.
+    :param in_flight: unfinished requests of its callers.
     """
 
     daemon_id: str
@@ -43,7 +43,7 @@
 
 
 def describe_status(blackboard: Blackboard) -> DaemonStatus:
-    """Read a daemon's status off its blackboard."""
+    """Build the status of a daemon from its blackboard."""
     member = blackboard.this_member
     steered = [name for name, h in blackboard.health.items() if h.avoided]
     return DaemonStatus(
--- a/src/wagtailstep/models/table.py
+++ b/src/wagtailstep/models/table.py
@@ -1,4 +1,4 @@
-"""The table that operators edit, as the fleet holds it in memory."""
+"""In-memory form of the table, which is the configuration that operators edit."""
 
 import enum
 import operator
@@ -29,14 +29,14 @@
 
 
 class LogUnavailablePolicy(enum.Enum):
-    """What happens to keyed non-idempotent requests while the log is away."""
+    """How to treat keyed non-idempotent requests while the log is unavailable."""
 
     REFUSE = "refuse"
     SEND_ONCE = "send-once"
 
 
 def _column(default: Any, low: float, high: float) -> Any:
-    """Declare a numeric column and the range of its values, both ends included."""
+    """Declare a numeric column with its default and its inclusive range."""
     return attrs.field(default=default, metadata={RANGE_KEY: (low, high)})
 
 
@@ -45,17 +45,18 @@
     """Limits of one service.
 
     :param service: name of the service; the key of the row.
-    :param floor_weight: weight that must always stay in service.
-    :param drain_limit_s: how long a leaving backend server may finish its work.
-    :param concurrency_limit: requests at once at one daemon's entry; 0 is no limit.
+    :param floor_weight: total weight that must always stay in service.
+    :param drain_limit_s: time that a leaving backend server has to finish its work.
+    :param concurrency_limit: concurrent requests at one daemon's entry; 0 for no
+        limit.
     :param account_rate_limit: requests per second of one client account at one
-        daemon; 0 is no limit.
-    :param detection_window_ms: evidence older than this counts little.
-    :param false_ejection_risk: accepted probability that one judgement takes a
-        healthy target for a sick one; smaller needs more evidence.
-    :param log_away: what happens to keyed requests while the log is away.
-    :param unlisted_servers: backend servers without a row that the operators run;
-        each counts with weight 1 when the floor is checked.
+        daemon; 0 for no limit.
+    :param detection_window_ms: evidence older than this has little weight.
+    :param false_ejection_risk: accepted probability that one assessment finds a
+        healthy target unhealthy; smaller values require more evidence.
+    :param log_away: how to treat keyed requests while the log is unavailable.
+    :param unlisted_servers: number of backend servers without a row; each counts
+        with weight 1 when the floor is checked.
     """
 
     service: str
@@ -74,7 +75,7 @@
 
     @property
     def drain_limit(self) -> timedelta:
-        """Return ``drain_limit_s`` as a standard time type."""
+        """Return ``drain_limit_s`` as a :class:`~datetime.timedelta`."""
         return timedelta(seconds=self.drain_limit_s)
 
 
@@ -83,7 +84,8 @@
     """Weight of one backend server.
 
     :param target_id: ``service/host:port``; the key of the row.
-    :param weight: share of the service's work; 0 takes no new work.
+    :param weight: share of the service's requests, relative to other servers; 0 for
+        no new requests.
     """
 
     target_id: str
@@ -95,8 +97,9 @@
     """Limits of one route of one service.
 
     :param route_id: ``service/route``; the key of the row.
-    :param concurrency_limit: requests at once at one daemon's entry; 0 is no limit.
-    :param timeout_ms: longest time a request of this route may take.
+    :param concurrency_limit: concurrent requests at one daemon's entry; 0 for no
+        limit.
+    :param timeout_ms: longest time that a request of this route may take.
     """
 
     route_id: str
@@ -106,10 +109,10 @@
 
 @attrs.frozen
 class AccountRow:
-    """Limit of one client account, where it differs from its service's.
+    """Limit of one client account that replaces the default of the service.
 
     :param account_id: ``service/account``; the key of the row.
-    :param rate_limit: requests per second at one daemon; 0 is no limit.
+    :param rate_limit: requests per second at one daemon; 0 for no limit.
     """
 
     account_id: str
@@ -120,7 +123,7 @@
 
 
 class RowKind(enum.Enum):
-    """The four kinds of rows, by the names that operators see."""
+    """The kinds of rows, under the names that operators use."""
 
     SERVICE = "service"
     BACKEND_SERVER = "backend_server"
@@ -139,7 +142,7 @@
 
     @property
     def columns(self) -> tuple[attrs.Attribute, ...]:
-        """Return the columns besides the key."""
+        """Return all columns except the key."""
         return attrs.fields(self.row_type)[1:]
 
 
@@ -151,31 +154,32 @@
 }
 
 
-# Rows of these kinds hold one number and are many.
+# Rows of these kinds are numerous and hold one number each, so they are stored packed.
 PACKED_KINDS = frozenset({RowKind.BACKEND_SERVER, RowKind.ACCOUNT})
 
 
 def pack_backend_servers(
     rows: Mapping[str, float] | None = None,
 ) -> PackedRows[BackendServerRow]:
-    """Return a compact mapping of backend servers, from weights by ``target_id``."""
+    """Build a compact mapping of backend servers from weights by ``target_id``."""
     weight_of = operator.attrgetter("weight")
     return PackedRows(BackendServerRow, weight_of, (rows or {}).items())
 
 
 def pack_accounts(rows: Mapping[str, float] | None = None) -> PackedRows[AccountRow]:
-    """Return a compact mapping of client accounts, from rates by ``account_id``."""
+    """Build a compact mapping of client accounts from rates by ``account_id``."""
     rate_of = operator.attrgetter("rate_limit")
     return PackedRows(AccountRow, rate_of, (rows or {}).items())
 
 
 @attrs.define
 class Table:
-    """The table in force: rows by their keys.
+    """One version of the table: rows by their keys.
 
-    :param version: number of accepted edits, or of the published table; only rises.
-    :param host_routes: routes by host and path, if the table was published whole.
-    :param max_body_bytes: longest body that a caller may send; 0 for any.
+    :param version: number of accepted edits, or version of the published document;
+        never decreases.
+    :param host_routes: routes by host and path, if the table is a published document.
+    :param max_body_bytes: size limit of request bodies; 0 for no limit.
     """
 
     version: int = 0
@@ -189,7 +193,7 @@
     max_body_bytes: int = attrs.field(default=0, eq=False)
 
     def service_row(self, service: str) -> ServiceRow:
-        """Return the row of a service, or one of defaults if it has none."""
+        """Return the row of a service, or one with default values."""
         return self.services.get(service) or ServiceRow(service)
 
     def weight(self, target_id: str) -> float:
@@ -198,7 +202,7 @@
         return DEFAULT_WEIGHT if row is None else row.weight
 
     def route_row(self, service: str, route: str) -> RouteRow:
-        """Return the row of a route, or one of defaults if it has none."""
+        """Return the row of a route, or one with default values."""
         route_id = f"{service}/{route}"
         return self.routes.get(route_id) or RouteRow(route_id)
 
@@ -218,9 +222,9 @@
         yield from (row for key, row in rows.items() if key.startswith(prefix))
 
     def listed_weight(self, service: str) -> float:
-        """Return the weight of a service's backend servers, as far as the table knows.
+        """Return the total weight of a service's backend servers.
 
-        Servers without a row count as ``unlisted_servers`` says.
+        It includes ``unlisted_servers``, each with the default weight.
         """
         rows = self.backend_servers
         if isinstance(rows, PackedRows):
--- a/src/wagtailstep/models/table_fold.py
+++ b/src/wagtailstep/models/table_fold.py
@@ -1,4 +1,4 @@
-"""The fold over the stream ``table``: every reader decides each record alike."""
+"""The fold over the log stream ``table``: all readers decide each record alike."""
 
 import collections
 import struct
@@ -39,7 +39,7 @@
 def hash_row(row_id: RowId, row: Row) -> int:
     """Return the hash of one row.
 
-    Columns at their default are left out, so a new column changes no hash.
+    Columns with default values are omitted, so that adding a column keeps hashes.
     """
     columns = row_id.kind.columns
     if row_id.kind in PACKED_KINDS:
@@ -54,7 +54,7 @@
 
 
 def hash_table(table: Table) -> int:
-    """Return the content hash of a table, from its rows."""
+    """Compute the content hash of a table from its rows."""
     total = 0
     for kind in RowKind:
         rows = table.rows(kind)
@@ -68,18 +68,19 @@
 
 @attrs.define
 class TableFold:
-    """The table after the records before ``next_offset``, and what decides the next.
+    """The table after all records before ``next_offset``; decides on the next record.
 
-    An edit is accepted if none of its rows changed after the version that it was
-    based on and if the table stays valid. Edits are remembered for the last
-    ``MAX_REMEMBERED_EDITS`` versions; an edit based on an older version is refused.
+    An edit is accepted if the table stays valid and none of the edit's rows changed
+    since the version that the edit is based on. Edits of the last
+    ``MAX_REMEMBERED_EDITS`` versions are retained; an edit based on an older version
+    is refused.
 
     :param table: the table; changed in place.
     :param next_offset: offset of the next record.
-    :param content_hash: sum of the hashes of all rows.
+    :param content_hash: sum of the hashes of all rows, modulo 2**64.
     :param horizon: edits based on an older version than this are refused.
-    :param accepted: the remembered accepted edits, oldest first.
-    :param refused: the remembered refused edits by their identifiers.
+    :param accepted: the retained accepted edits, oldest first.
+    :param refused: the retained refused edits by their identifiers.
     """
 
     table: Table = attrs.field(factory=Table)
@@ -102,13 +103,15 @@
         return self.table.version
 
     def apply(self, record: LogRecord) -> EditOutcome | None:
-        """Decide the next record.
+        """Apply the next record.
 
         :return: the outcome of an edit, or ``None`` for any other record.
         :raises ValueError: if the record is not the next one.
         """
         if record.offset != self.next_offset:
-            raise ValueError(f"record {record.offset} is not {self.next_offset}")
+            raise ValueError(
+                f"got record {record.offset} instead of {self.next_offset}"
+            )
         self.next_offset += 1
         if not record.data:
             return None
@@ -165,10 +168,10 @@
                 )
 
     def _change_rows(self, changes: TableChanges) -> int:
-        """Change the rows, or none if the table would not be valid.
+        """Change all rows, or none if the table would become invalid.
 
-        :return: what the content hash changes by.
-        :raises TableError: if the table would not be valid.
+        :return: the change of the content hash.
+        :raises TableError: if the table would become invalid.
         """
         for row_id, row in changes.items():
             if row is not None:
@@ -214,20 +217,21 @@
         return EditOutcome(edit.edit_id, EditVerdict.ACCEPTED, self.version)
 
     def add_accepted_edit(self, edit: AcceptedEdit) -> None:
-        """Remember the newest accepted edit, and forget the oldest of too many."""
+        """Add the newest accepted edit, and discard the oldest beyond the limit."""
         self.accepted.append(edit)
         self._index(edit)
         if len(self.accepted) > MAX_REMEMBERED_EDITS:
-            self._forget_oldest()
+            self._discard_oldest()
 
     def _index(self, edit: AcceptedEdit) -> None:
         self.by_id[edit.edit_id] = edit
         for row_id in edit.rows:
             self.last_changes[row_id] = edit
 
-    def _forget_oldest(self) -> None:
+    def _discard_oldest(self) -> None:
         oldest = self.accepted.popleft()
-        # A copy of a forgotten edit is based on an older version than the horizon.
+        # Raising the horizon also refuses duplicates of the discarded edit, since they
+        # are based on an older version.
         self.horizon = oldest.version
         del self.by_id[oldest.edit_id]
         for row_id in oldest.rows:
@@ -247,14 +251,14 @@
         return EditOutcome("", EditVerdict.MALFORMED, self.version, reason)
 
     def outcome_of(self, edit_id: str) -> EditOutcome | None:
-        """Return what became of an edit, or ``None`` if it is not remembered."""
+        """Return the outcome of an edit, or ``None`` if it is not retained."""
         accepted = self.by_id.get(edit_id)
         if accepted is not None:
             return EditOutcome(edit_id, EditVerdict.ACCEPTED, accepted.version)
         return self.refused.get(edit_id)
 
     def content_hash_at(self, version: int) -> int | None:
-        """Return the content hash of a remembered version, or ``None``."""
+        """Return the content hash of a version, or ``None`` if it is not retained."""
         if version == self.version:
             return self.content_hash
         first = self.accepted[0].version if self.accepted else self.version
--- a/src/wagtailstep/models/table_messages.py
+++ b/src/wagtailstep/models/table_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which daemons pass the table on."""
+"""Messages by which daemons exchange the table."""
 
 import attrs
 
@@ -9,14 +9,14 @@
 @message
 @attrs.frozen
 class TableDigest:
-    """How far the sender's table is.
+    """State of the sender's table.
 
-    :param position: offset of the next record of its fold; -1 with no table.
+    :param position: offset of the next record of its fold; -1 without a table.
     :param version: version of its table.
     :param content_hash: hash of its table's content.
-    :param tail_start: offset of the first record that it can pass on.
-    :param in_force: whether the sender has put its table in force.
-    :param wants_answer: whether the receiver shall answer in any case.
+    :param tail_start: offset of the oldest record that it can send.
+    :param in_force: whether the table is in force at the sender.
+    :param wants_answer: whether the receiver is to answer even if nothing differs.
     """
 
     position: int
@@ -30,10 +30,10 @@
 @message
 @attrs.frozen
 class TableRecords:
-    """Consecutive records of the stream; snapshots come without their data.
+    """Consecutive records of the stream; those of snapshots are without data.
 
     :param records: oldest first.
-    :param wants_answer: whether the receiver shall tell how far it is then.
+    :param wants_answer: whether the receiver is to answer with its state afterwards.
     """
 
     records: tuple[LogRecord, ...]
@@ -43,9 +43,10 @@
 @message
 @attrs.frozen
 class TableSnapshotRequest:
-    """Ask for one chunk of the sender's table.
+    """Request one chunk of a snapshot of the receiver's table.
 
-    :param snapshot_id: identifier from the first chunk; empty for a new snapshot.
+    :param snapshot_id: identifier from the first chunk; empty to request a new
+        snapshot.
     :param index: position of the chunk, from 0.
     """
 
@@ -58,7 +59,7 @@
 class TableSnapshotChunk:
     """One chunk of an encoded snapshot.
 
-    :param snapshot_id: identifier of the snapshot at its sender.
+    :param snapshot_id: identifier assigned by the sender.
     :param index: position of the chunk, from 0.
     :param count: number of chunks.
     :param data: this part of the encoded snapshot.
--- a/src/wagtailstep/models/table_reader.py
+++ b/src/wagtailstep/models/table_reader.py
@@ -1,4 +1,4 @@
-"""Reading the stream ``table``: records in order, across gaps, by snapshots."""
+"""Reader of the log stream ``table``; snapshots bridge gaps between records."""
 
 import collections
 
@@ -14,12 +14,12 @@
 MAX_INCOMPLETE_SNAPSHOTS = 8
 TAIL_BYTES = 65_536
 
-# The encoded name of the class; looking for it spares decoding every record.
+# Searching for the encoded class name avoids decoding every record.
 _PART_NAME = TableSnapshotPart.__name__.encode()
 
 
 def decode_part(record: LogRecord) -> TableSnapshotPart | None:
-    """Return a record's snapshot part, or ``None`` for any other record."""
+    """Return the snapshot part in a record, or ``None`` for any other record."""
     if _PART_NAME not in record.data[:40]:
         return None
     try:
@@ -31,10 +31,11 @@
 
 @attrs.frozen
 class CheckedSnapshot:
-    """A whole snapshot that was read from the log.
+    """A complete snapshot that was read from the log, and whether it is correct.
 
-    :param last_part: its last part, without data.
-    :param problem: why it is not the fold up to its offset; empty if it may be.
+    :param last_part: the part that was read last, without data.
+    :param problem: why it differs from the fold at its offset; empty if no
+        difference is known.
     """
 
     last_part: TableSnapshotPart
@@ -43,11 +44,11 @@
 
 @attrs.define
 class RecordTail:
-    """The newest applied records, for peers that lag a little.
+    """The newest applied records, to be sent to peers that are slightly behind.
 
-    :param start: offset of the first one that is held.
+    :param start: offset of the oldest record held.
     :param records: the records, without the data of snapshots.
-    :param size: bytes of data held.
+    :param size: total size of the records held, in bytes.
     """
 
     start: int = 0
@@ -55,7 +56,7 @@
     size: int = 0
 
     def add(self, record: LogRecord) -> None:
-        """Add the next record and drop the oldest beyond the limit of memory."""
+        """Add the next record and discard the oldest beyond ``TAIL_BYTES``."""
         self.records.append(record)
         self.size += len(record.data)
         while self.size > TAIL_BYTES:
@@ -63,7 +64,7 @@
             self.start += 1
 
     def reset(self, start: int) -> None:
-        """Start again at an offset, with no records."""
+        """Discard all records and continue at an offset."""
         self.start = start
         self.records.clear()
         self.size = 0
@@ -71,7 +72,7 @@
     def read_last(self, max_bytes: int) -> tuple[LogRecord, ...]:
         """Return the newest records.
 
-        :param max_bytes: most bytes of data.
+        :param max_bytes: size limit of the records.
         """
         found: list[LogRecord] = []
         size = 0
@@ -83,9 +84,9 @@
         return tuple(reversed(found))
 
     def read(self, offset: int, max_bytes: int) -> tuple[LogRecord, ...]:
-        """Return records from an offset on, at least one if they are held.
+        """Return records from an offset on; none if the offset is not held.
 
-        :param max_bytes: roughly how many bytes of data at most.
+        :param max_bytes: size limit of the records; the first one may exceed it.
         """
         if offset < self.start:
             return ()
@@ -102,13 +103,14 @@
 
 @attrs.define
 class TableReader:
-    """The fold so far, and the records that wait for a snapshot before them.
+    """The current fold, and records after a gap that a snapshot has to bridge.
 
-    :param fold: the fold; ``None`` until the first record or a snapshot came.
+    :param fold: the fold; ``None`` until the first record or a snapshot was read.
     :param tail: the newest applied records.
     :param pending: records after a gap, consecutive, oldest first.
-    :param incomplete_snapshots: parts of snapshots that are not whole yet.
-    :param seen: whole snapshots seen, for the caller to take.
+    :param incomplete_snapshots: parts read so far of incomplete snapshots, by
+        ``snapshot_id``.
+    :param checked_snapshots: complete snapshots that were read; callers clear it.
     """
 
     fold: TableFold | None = None
@@ -119,26 +121,27 @@
 
     @property
     def position(self) -> int:
-        """Return the offset of the next record, or -1 with no table yet."""
+        """Return the offset of the next record, or -1 without a table."""
         return -1 if self.fold is None else self.fold.next_offset
 
     def reset(self) -> None:
-        """Forget all, to begin with another daemon's snapshot."""
+        """Discard all state, to start from another daemon's snapshot."""
         self.fold = None
         self.tail.reset(0)
         self.pending.clear()
         self.incomplete_snapshots.clear()
 
     def start_empty(self) -> None:
-        """Start with the empty table, for a stream whose first record is retained."""
+        """Start from an empty table, if the stream still has its first record."""
         if self.fold is None:
             self.fold = TableFold()
             self.tail.reset(0)
 
     def apply_log_record(self, record: LogRecord) -> list[EditOutcome]:
-        """Take the next record of the log.
+        """Apply the next record of the log.
 
-        :return: outcomes of the edits that it, or a snapshot in it, decided.
+        :return: outcomes of the edits that the record, or a snapshot that it
+            completes, decided.
         """
         if record.offset == 0:
             self.start_empty()
@@ -149,16 +152,16 @@
         return outcomes
 
     def apply_record(self, record: LogRecord) -> list[EditOutcome]:
-        """Take a record if it is the next one, or keep it if it is after a gap."""
+        """Apply a record if it is the next one, or store it if it follows a gap."""
         if record.offset < self.position:
             return []
         if record.offset > self.position:
-            self._keep_pending(record)
+            self._store_pending(record)
             return []
         outcomes = self._apply(record)
         return outcomes + self._drain_pending()
 
-    def _keep_pending(self, record: LogRecord) -> None:
+    def _store_pending(self, record: LogRecord) -> None:
         if self.pending and record.offset <= self.pending[-1].offset:
             return
         if self.pending and record.offset != self.pending[-1].offset + 1:
@@ -185,7 +188,7 @@
         parts.append(part)
         if len(self.incomplete_snapshots) > MAX_INCOMPLETE_SNAPSHOTS:
             del self.incomplete_snapshots[next(iter(self.incomplete_snapshots))]
-        by_index = {held.index: held for held in parts}
+        by_index = {known.index: known for known in parts}
         if len(by_index) < part.count:
             return []
         self.incomplete_snapshots.pop(part.snapshot_id, None)
@@ -195,7 +198,7 @@
     def _apply_snapshot(
         self, part: TableSnapshotPart, data: bytes, offset: int
     ) -> list[EditOutcome]:
-        """Use a whole snapshot if it is newer and nothing is missing after it."""
+        """Apply a complete snapshot if it is newer and no later record is missing."""
         problem = self._find_problem(part, offset)
         fold = None
         if not problem and part.next_offset > self.position:
@@ -209,33 +212,35 @@
         return [] if fold is None else self.restore(fold)
 
     def _find_problem(self, part: TableSnapshotPart, offset: int) -> str:
-        """Return what shows that a snapshot is not the fold up to its offset."""
+        """Return why a snapshot can't be the fold at its offset, or an empty string."""
         if part.next_offset > offset:
-            return "it claims records that were not yet appended"
+            return "it claims to include records that had not been appended yet"
         if self.fold is None or part.next_offset > self.position:
             return ""
         known = self.fold.content_hash_at(part.version)
         if known is not None and known != part.content_hash:
-            return f"version {part.version} has another content here"
+            return f"the content of version {part.version} differs from the one here"
         return ""
 
     def _decode_if_usable(
         self, part: TableSnapshotPart, data: bytes
     ) -> TableFold | None:
-        """Decode a newer snapshot if all records after it are held.
+        """Decode a newer snapshot if all later records are held.
 
-        :raises DecodeError: if it is damaged.
+        :raises DecodeError: if it is corrupt.
         """
         if not self.pending or self.pending[0].offset > part.next_offset:
             return None
         fold = decode_snapshot(data)
         found = (fold.version, fold.next_offset, fold.content_hash)
         if found != (part.version, part.next_offset, part.content_hash):
-            raise DecodeError("a table snapshot's parts and content disagree")
+            raise DecodeError(
+                "version, offset or hash of a table snapshot differ from its parts"
+            )
         return fold
 
     def restore(self, fold: TableFold) -> list[EditOutcome]:
-        """Take over a newer fold; an older one is ignored.
+        """Replace the fold by a newer one; an older one is ignored.
 
         :return: outcomes of pending edits that follow it.
         """
--- a/src/wagtailstep/models/table_rules.py
+++ b/src/wagtailstep/models/table_rules.py
@@ -1,4 +1,4 @@
-"""What a valid row and a valid table are."""
+"""Validation of table rows and of the table as a whole."""
 
 import re
 from collections.abc import Iterable
@@ -44,11 +44,13 @@
 def check_row(row_id: RowId, row: Row) -> None:
     """Check the key of a row and the range of each column.
 
-    :raises TableError: naming row, column, value and what is allowed.
+    :raises TableError: if one is invalid, with row, column, value and allowed range.
     """
     check_key(row_id)
     if getattr(row, attrs.fields(type(row))[0].name) != row_id.key:
-        raise TableError(f"row {row_id}: the row repeats its key wrongly")
+        raise TableError(
+            f"row {row_id}: the key in the row differs from the key of the edit"
+        )
     for column in row_id.kind.columns:
         if RANGE_KEY not in column.metadata:
             continue
@@ -62,18 +64,18 @@
 
 
 def check_services(table: Table, services: Iterable[str]) -> None:
-    """Check the rows of some services against each other.
+    """Check the consistency of all rows of some services.
 
     :raises TableError: if rows have no service row, or a floor can't be met.
     """
     for service in services:
         if service not in table.services:
-            _check_unused(table, service)
+            _check_no_rows(table, service)
             continue
         _check_floor(table, service)
 
 
-def _check_unused(table: Table, service: str) -> None:
+def _check_no_rows(table: Table, service: str) -> None:
     for kind in (RowKind.BACKEND_SERVER, RowKind.ROUTE, RowKind.ACCOUNT):
         row = next(table.rows_of_service(kind, service), None)
         if row is not None:
--- a/src/wagtailstep/models/table_snapshot.py
+++ b/src/wagtailstep/models/table_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of the fold, for readers that can't read from the first record."""
+"""Snapshots of the fold, for readers that can't start at the first record."""
 
 import collections
 import itertools
@@ -36,10 +36,10 @@
 @message
 @attrs.frozen
 class TableSnapshot:
-    """All that a fold holds; the fields are those of :class:`TableFold`.
+    """The state of a fold; the fields are those of :class:`TableFold`.
 
-    Rows of one number come as encoded dictionaries of a bounded number of rows, so
-    that a reader never holds all of them as objects.
+    Backend servers and accounts are encoded as dictionaries of at most ``GROUP_ROWS``
+    rows, so that a reader never holds all of them as objects.
     """
 
     version: int
@@ -55,7 +55,7 @@
 
 
 def encode_snapshot(fold: TableFold) -> bytes:
-    """Encode a fold as compressed bytes."""
+    """Encode and compress a fold."""
     table = fold.table
     snapshot = TableSnapshot(
         table.version,
@@ -89,20 +89,20 @@
 def decode_snapshot(data: bytes) -> TableFold:
     """Rebuild a fold from :func:`encode_snapshot`.
 
-    :raises DecodeError: if the bytes are no snapshot or its hash is not that of
+    :raises DecodeError: if the bytes are not a snapshot, or its hash does not match
         its rows.
     """
     try:
         unpacked = zlib.decompressobj().decompress(data, MAX_SNAPSHOT_BYTES)
     except zlib.error as error:
-        raise DecodeError(f"a table snapshot is damaged: {error}") from error
+        raise DecodeError(f"a table snapshot is corrupt: {error}") from error
     snapshot = decode_message(unpacked)
     if not isinstance(snapshot, TableSnapshot):
-        raise DecodeError("a table snapshot is damaged: it is another message")
+        raise DecodeError("a table snapshot is corrupt: it holds another message")
     try:
         return _restore(snapshot)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise DecodeError(f"a table snapshot is damaged: {error}") from error
+        raise DecodeError(f"a table snapshot is corrupt: {error}") from error
 
 
 def _restore(snapshot: TableSnapshot) -> TableFold:
@@ -118,7 +118,9 @@
         accounts,
     )
     if hash_table(table) != snapshot.content_hash:
-        raise DecodeError("a table snapshot is damaged: its rows have another hash")
+        raise DecodeError(
+            "a table snapshot is corrupt: its hash does not match its rows"
+        )
     return TableFold(
         table,
         snapshot.next_offset,
@@ -134,21 +136,21 @@
 ) -> list[TableSnapshotPart]:
     """Encode a fold as records for the log.
 
-    :param snapshot_id: unique identifier for the parts.
-    :param utc: when it is written.
+    :param snapshot_id: unique identifier of the snapshot, repeated in all parts.
+    :param utc: time of writing.
     """
     data = encode_snapshot(fold)
-    pieces = [data[i : i + PART_BYTES] for i in range(0, len(data), PART_BYTES)]
+    chunks = [data[i : i + PART_BYTES] for i in range(0, len(data), PART_BYTES)]
     return [
         TableSnapshotPart(
             snapshot_id,
             index,
-            len(pieces),
+            len(chunks),
             fold.next_offset,
             fold.version,
             fold.content_hash,
             utc,
-            piece,
+            chunk,
         )
-        for index, piece in enumerate(pieces)
+        for index, chunk in enumerate(chunks)
     ]
--- a/src/wagtailstep/models/targets.py
+++ b/src/wagtailstep/models/targets.py
@@ -6,12 +6,12 @@
 
 
 class TargetMap(MutableMapping[str, Target]):
-    """Targets by ``target_id``, with an index by service kept up to date.
+    """Mapping of ``target_id`` to target, with an index by service.
 
-    It is used like a ``dict``; finding the targets of one service does not look
-    at the targets of other services.
+    The cost of a lookup by service does not depend on the number of targets of other
+    services.
 
-    :param targets: targets to start with, by ``target_id``.
+    :param targets: initial targets by ``target_id``.
     """
 
     def __init__(self, targets: Mapping[str, Target] | None = None) -> None:
@@ -34,9 +34,9 @@
     def __delitem__(self, target_id: str) -> None:
         """Remove a target."""
         target = self.by_id.pop(target_id)
-        of_service = self.by_service[target.service]
-        del of_service[target_id]
-        if not of_service:
+        same_service = self.by_service[target.service]
+        del same_service[target_id]
+        if not same_service:
             del self.by_service[target.service]
 
     def __iter__(self) -> Iterator[str]:
@@ -48,5 +48,5 @@
         return len(self.by_id)
 
     def of_service(self, service: str) -> dict[str, Target]:
-        """Return the targets of a service by ``target_id``; not to be changed."""
+        """Return the targets of a service by ``target_id``; read-only."""
         return self.by_service.get(service, {})
--- a/src/wagtailstep/models/timeline.py
+++ b/src/wagtailstep/models/timeline.py
@@ -1,4 +1,4 @@
-"""Events of several daemons, merged."""
+"""Timeline of events merged from several daemons."""
 
 import attrs
 
@@ -7,9 +7,9 @@
 
 @attrs.define
 class MergedTimeline:
-    """One time line over all daemons that answered.
+    """A single timeline of all daemons that answered.
 
-    :param events: all events; each after those that caused it.
+    :param events: all events; each one follows its causes.
     :param unreachable: addresses of daemons that did not answer, with the reason.
     """
 
@@ -18,9 +18,9 @@
 
 
 def sort_events(events: list[TimelineEvent]) -> list[TimelineEvent]:
-    """Order events causally; events without a causal order by name of daemon.
+    """Sort events by causality; concurrent events by ``daemon_id``.
 
-    The wall clock decides nothing, since the clocks of instances differ.
+    Wall-clock time is ignored, since the clocks of instances differ.
     """
     return sorted(events, key=_order_key)
 
--- a/src/wagtailstep/models/verdict.py
+++ b/src/wagtailstep/models/verdict.py
@@ -4,11 +4,11 @@
 
 
 class Verdict(enum.Enum):
-    """Say whether a request was run by a backend server.
+    """Whether a request was run by a backend server.
 
-    ``NOT_RUN`` is a fact, not a guess: no byte of the request left for a
-    backend server, or the gate that knows says so. ``RUN`` means a whole
-    answer of the backend server arrived.
+    ``NOT_RUN`` is certain: no byte of the request was sent to a backend server, or
+    the gate in charge confirmed that it was not run. ``RUN`` means that a complete
+    response of the backend server arrived.
     """
 
     NOT_RUN = "not-run"
@@ -16,7 +16,7 @@
     RUN = "run"
 
     def allows_resend(self, idempotent: bool) -> bool:
-        """Tell whether the system itself may send the request again.
+        """Return whether a daemon may resend the request on its own.
 
         :param idempotent: whether running the request twice does no harm.
         """
@@ -29,6 +29,7 @@
 def combine_verdicts(first: Verdict, second: Verdict) -> Verdict:
     """Combine the verdicts of two attempts of the same request.
 
-    :return: the verdict that claims more: run before may-have-run before not-run.
+    :return: ``RUN`` if either is, else ``MAY_HAVE_RUN`` if either is, else
+        ``NOT_RUN``.
     """
     return max(first, second, key=_RANK.__getitem__)
--- a/src/wagtailstep/utils/__init__.py
+++ b/src/wagtailstep/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers that know nothing of the proxy."""
+"""General-purpose helpers that are not specific to proxying."""
--- a/src/wagtailstep/utils/callbacks.py
+++ b/src/wagtailstep/utils/callbacks.py
@@ -1,7 +1,7 @@
-"""What stands for a callback that nobody has set."""
+"""Default for callbacks that have not been set."""
 
 from typing import Any
 
 
 def do_nothing(*_: Any) -> None:
-    """Take no notice."""
+    """Accept any arguments and do nothing."""
--- a/src/wagtailstep/utils/clock.py
+++ b/src/wagtailstep/utils/clock.py
@@ -6,13 +6,13 @@
 
 
 class Clock(Protocol):
-    """Tell the time. Every component takes its clock as an argument."""
+    """A source of time, passed to each component so that tests can control it."""
 
     def monotonic(self) -> timedelta:
-        """Return the time since an arbitrary start; it never goes back."""
+        """Return the time since an arbitrary start; it never decreases."""
 
     def utc(self) -> datetime:
-        """Return the wall-clock time, for people to read; it decides nothing."""
+        """Return the wall-clock time; for display only, no decision depends on it."""
 
 
 class LoopClock:
@@ -28,7 +28,7 @@
 
 
 class ManualClock:
-    """A clock that moves only when told to.
+    """A clock that advances only when :meth:`advance` is called.
 
     :param start: the wall-clock time at monotonic time zero.
     """
@@ -48,9 +48,9 @@
     def advance(self, step: timedelta) -> None:
         """Move the clock forward.
 
-        :param step: how far; negative values are not allowed.
+        :param step: time to add; must not be negative.
         :raises ValueError: if ``step`` is negative.
         """
         if step < timedelta():
-            raise ValueError(f"a clock can't go back by {step}")
+            raise ValueError(f"a clock can't be advanced by the negative time {step}")
         self.elapsed += step
--- a/src/wagtailstep/utils/codec.py
+++ b/src/wagtailstep/utils/codec.py
@@ -1,8 +1,9 @@
 """Encoding of messages between daemons and of records in the log.
 
 A message is an attrs class that was registered with :func:`message`. On the wire
-it is a MessagePack pair of a name and the fields. The name is that of the class, or
-the shorter ``wire_name`` of a class whose messages are frequent.
+it is a MessagePack pair of a name and the fields. The name is ``wire_name`` if the
+class defines it, else the name of the class. ``wire_name`` gives frequent messages a
+short name, and lets a class be renamed without a change of the format.
 """
 
 from typing import Any, TypeVar
@@ -24,11 +25,11 @@
 def message(cls: _T) -> _T:
     """Register an attrs class as a message; use as a class decorator.
 
-    :raises ValueError: if another class of the same name is registered.
+    :raises ValueError: if another class is registered under the same name.
     """
     name = getattr(cls, "wire_name", cls.__name__)
     if name in _MESSAGE_TYPES:
-        raise ValueError(f"two messages are named {name}")
+        raise ValueError(f"another message is already registered as {name}")
     _MESSAGE_TYPES[name] = cls
     _WIRE_NAMES[cls] = name
     return cls
@@ -47,9 +48,9 @@
 
 
 def decode_message(data: bytes) -> Any:
-    """Decode what :func:`encode_message` made.
+    """Decode a message encoded by :func:`encode_message`.
 
-    :raises DecodeError: if the bytes are not a registered message.
+    :raises DecodeError: if the bytes do not hold a registered message.
     """
     try:
         envelope = msgspec.msgpack.decode(data, type=_Envelope)
--- a/src/wagtailstep/utils/logging.py
+++ b/src/wagtailstep/utils/logging.py
@@ -7,21 +7,21 @@
 from collections.abc import Callable
 from typing import Any
 
-# Enough to sample what goes well; failures are never left out.
+# A sample of the successes is enough; failures are never rate-limited.
 ROUTINE_LINES_PER_S = 10
-# POSIX promises that a pipe which is ready takes as much without waiting.
+# PIPE_BUF: by POSIX, a pipe reported as writable accepts this much without blocking.
 MAX_LINE_BYTES = 4_096
 STDOUT_FD = 1
 _QUOTED_CHARACTERS = set(' "=\n\r\t')
 
 
 def format_fields(fields: dict[str, Any]) -> str:
-    """Write fields as ``key=value`` pairs, quoting values where needed."""
+    """Format fields as ``key=value`` pairs, quoting values where needed."""
     return " ".join(f"{key}={quote_value(value)}" for key, value in fields.items())
 
 
 def quote_value(value: Any) -> str:
-    """Write one value so that it stays on one line and has no bare space."""
+    """Format one value on a single line; a value with spaces is quoted."""
     text = str(value)
     if text and not _QUOTED_CHARACTERS.intersection(text):
         return text
@@ -31,7 +31,7 @@
 
 
 class LazyEventText:
-    """Text of an event that is only written if its line is.
+    """Log message that is formatted only when its line is written.
 
     :param fields: the fields of the line.
     """
@@ -40,7 +40,7 @@
         self.fields = fields
 
     def __str__(self) -> str:
-        """Return the line."""
+        """Return the fields as text."""
         return format_fields(self.fields)
 
 
@@ -54,8 +54,8 @@
     """Log one event.
 
     :param event: name of the event, in kebab case.
-    :param routine: whether it is one of many that went well, and may be left out.
-    :param fields: what belongs to it; units go into the names of the fields.
+    :param routine: whether it is a frequent report of success, which may be omitted.
+    :param fields: values to log; the name of a field ends in its unit, if any.
     """
     if logger.isEnabledFor(level):
         text = LazyEventText({"event": event, **fields})
@@ -63,15 +63,15 @@
 
 
 class BoundedHandler(logging.Handler):
-    """Write log lines without ever waiting for their reader.
+    """Write log lines without ever blocking on a slow reader.
 
-    Of routine lines as many are written each second as ``routine_per_s`` says. Lines
-    that the reader has no room for are dropped. Both are counted, and told in a line
-    of their own with the next line that is written.
+    Routine lines beyond ``routine_per_s`` are omitted. Any line is dropped if the
+    descriptor can't accept it at once. Both are counted, and the counts are written
+    as a separate line before the next line.
 
     :param fd: file descriptor to write to.
-    :param read_seconds: returns monotonic seconds.
-    :param routine_per_s: routine lines to write each second.
+    :param read_seconds: returns the monotonic time in seconds.
+    :param routine_per_s: highest number of routine lines per second.
     """
 
     def __init__(
@@ -86,13 +86,13 @@
         self.routine_per_s = routine_per_s
         self.poll = select.poll()
         self.poll.register(fd, select.POLLOUT)
-        self.second = -1
+        self.current_second = -1
         self.routine_lines = 0
         self.omitted = 0
         self.dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line, or count it."""
+        """Write one line, or count it as omitted or dropped."""
         if getattr(record, "routine", False) and not self.try_acquire_routine_line():
             self.omitted += 1
             return
@@ -107,16 +107,16 @@
             self.dropped += 1
 
     def try_acquire_routine_line(self) -> bool:
-        """Tell whether one more routine line may be written in this second."""
+        """Count a routine line; return whether it is within this second's limit."""
         second = int(self.read_seconds())
-        if second != self.second:
-            self.second = second
+        if second != self.current_second:
+            self.current_second = second
             self.routine_lines = 0
         self.routine_lines += 1
         return self.routine_lines <= self.routine_per_s
 
     def report_missing_lines(self, record: logging.LogRecord) -> None:
-        """Write how many lines are missing before this one."""
+        """Log how many lines were omitted or dropped before this one."""
         fields = {
             "event": "lines-left-out",
             "routine": self.omitted,
@@ -130,9 +130,9 @@
             self.omitted = self.dropped = 0
 
     def write(self, line: str) -> bool:
-        """Write a line if the reader has room for it.
+        """Write a line if the descriptor accepts it without blocking.
 
-        A descriptor that is ready takes at least this many bytes at once.
+        A line longer than ``MAX_LINE_BYTES`` is cut, as only so much is guaranteed.
 
         :return: whether it was written.
         """
@@ -143,7 +143,7 @@
                 os.write(self.fd, data)
                 return True
         except OSError:
-            # Nobody reads any more; there is nowhere left to say so.
+            # The reader has closed its end, so there is nowhere left to report this.
             pass
         return False
 
