--- a/src/wagtailstep/controllers/announcements.py
+++ b/src/wagtailstep/controllers/announcements.py
@@ -130,15 +130,17 @@
         :return: whether it is neither late nor from a process that has withdrawn.
         """
         target = event.target
-        if event.born and event.born < self._latest_start_at(target.address):
+        if event.process_started and event.process_started < self._latest_start_at(
+            target.address
+        ):
             return False
         registration = self.registrations.setdefault(target.target_id, Registration())
         self.registrations.move_to_end(target.target_id)
         while len(self.registrations) > MAX_REGISTRATIONS:
             self.registrations.popitem(last=False)
-        if not registration.apply_announcement(event.born, event.sequence):
+        if not registration.apply_announcement(event.process_started, event.sequence):
             return False
-        if registration.has_withdrawn and event.born:
+        if registration.has_withdrawn and event.process_started:
             return False
         self._remove_replaced(target)
         return True
@@ -182,7 +184,7 @@
             name = f"{event.service}/{event.instance_id}"
             expires_at = self.clock.monotonic() + MAX_ANNOUNCEMENT_DELAY
             self.registrations[name] = Registration(
-                born=event.at, has_withdrawn=True, expires_at=expires_at
+                born=event.left_at, has_withdrawn=True, expires_at=expires_at
             )
             return []
         effects: list[Any] = []
--- a/src/wagtailstep/controllers/claim_appends.py
+++ b/src/wagtailstep/controllers/claim_appends.py
@@ -6,7 +6,7 @@
 import attrs
 
 from wagtailstep.models.claims import ClaimBatch, ClaimEntry
-from wagtailstep.models.events import AppendToLog, LogAppendSettled
+from wagtailstep.models.events import AppendToLog, LogAppendFinished
 from wagtailstep.utils.ids import make_id
 
 MAX_BATCH_ENTRIES = 256
@@ -61,7 +61,7 @@
         return [AppendToLog(self.stream, batch, self.append_id)]
 
     def complete_append(
-        self, event: LogAppendSettled, now: timedelta
+        self, event: LogAppendFinished, now: timedelta
     ) -> tuple[ClaimEntry, ...]:
         """Handle the end of the append in flight.
 
--- a/src/wagtailstep/controllers/claims.py
+++ b/src/wagtailstep/controllers/claims.py
@@ -36,23 +36,23 @@
     ClaimBatch,
     ClaimEntry,
     ClaimHolder,
+    claim_stream,
     digest_key,
-    name_stream,
 )
-from wagtailstep.models.events import FollowStream, LogAppendSettled, RecordEvent
+from wagtailstep.models.events import FollowStream, LogAppendFinished, RecordEvent
 from wagtailstep.models.fleet import MemberState
 from wagtailstep.models.idempotency import (
     Decision,
-    PassOn,
     Refuse,
+    RelayToDaemon,
     RequestDecided,
-    RunHere,
+    RunLocally,
     Wait,
 )
 from wagtailstep.models.log import LogRecord
 from wagtailstep.models.request import RequestContext
 from wagtailstep.models.settings import DaemonSettings
-from wagtailstep.models.table import LogAwayPolicy
+from wagtailstep.models.table import LogUnavailablePolicy
 from wagtailstep.utils.clock import Clock
 from wagtailstep.utils.codec import decode_message
 
@@ -93,7 +93,7 @@
         self.blackboard = blackboard
         self.clock = clock
         self.runs = runs
-        self.stream = name_stream(service)
+        self.stream = claim_stream(service)
         retention = timedelta(seconds=settings.log.retention_s)
         self.fold = ClaimFold(capacity, retention)
         self.appender = ClaimAppender(self.stream, settings.daemon_id, boot_id, rng)
@@ -163,7 +163,7 @@
             return Refuse(
                 build_unknown_outcome_error("the daemon that holds its key is gone")
             )
-        return PassOn(holder.daemon_id)
+        return RelayToDaemon(holder.daemon_id)
 
     def decide_without_log(
         self, key: bytes, request: RequestContext, fingerprint: str
@@ -174,7 +174,7 @@
         so that later repetitions of the request find it.
         """
         row = self.blackboard.table.service_row(self.service)
-        if row.log_away is LogAwayPolicy.REFUSE:
+        if row.log_away is LogUnavailablePolicy.REFUSE:
             return Refuse(build_log_unavailable_error(request)), []
         entry = self.create_claim(key)
         self.appender.add(entry)
@@ -189,12 +189,12 @@
         self.appender.add(entry)
         return Wait(), [FollowStream(self.stream), *self.flush()]
 
-    def start_run(self, entry: ClaimEntry, fingerprint: str) -> RunHere:
+    def start_run(self, entry: ClaimEntry, fingerprint: str) -> RunLocally:
         """Record that this daemon now executes the request of a claim."""
         run_id = self.build_run_id(entry.key)
         run = Run(run_id, self.service, RunState.RUNNING, fingerprint, claim=entry)
         self.runs.add(run)
-        return RunHere(run_id)
+        return RunLocally(run_id)
 
     def release_run(self, run: Run) -> list[Any]:
         """Release the claim of a run whose request was not executed.
@@ -238,7 +238,7 @@
             self.appender.remove_queued(pending.entry)
             self.cancel_claim(pending.entry)
 
-    def complete_append(self, event: LogAppendSettled) -> list[Any]:
+    def complete_append(self, event: LogAppendFinished) -> list[Any]:
         """Handle the end of the append in flight."""
         sent = self.appender.in_flight_entries
         unacknowledged = self.appender.complete_append(event, self.clock.monotonic())
--- a/src/wagtailstep/controllers/dissemination.py
+++ b/src/wagtailstep/controllers/dissemination.py
@@ -19,8 +19,8 @@
 from wagtailstep.models.fleet import Member, MemberState, Target, TargetState
 from wagtailstep.models.membership import (
     AGE_UNIT_MS,
-    BEAT_EPOCH_MS,
-    BEAT_MS,
+    HEARTBEAT_EPOCH_MS,
+    HEARTBEAT_UNIT_MS,
     Digest,
     DigestRequest,
     TargetEntry,
@@ -195,7 +195,9 @@
     def _start_heartbeat(self, now: timedelta) -> None:
         uptime_ms = (now - self.started_at) // timedelta(milliseconds=1)
         wall_ms = self.blackboard.this_member.incarnation + uptime_ms
-        self.heartbeat = max(self.heartbeat + 1, (wall_ms - BEAT_EPOCH_MS) // BEAT_MS)
+        self.heartbeat = max(
+            self.heartbeat + 1, (wall_ms - HEARTBEAT_EPOCH_MS) // HEARTBEAT_UNIT_MS
+        )
         self.heartbeat_at = now
 
     def _advance_heartbeat(self, heartbeat: int) -> None:
@@ -249,7 +251,7 @@
         return TargetsUpdate(
             daemon_id=this.daemon_id,
             availability_zone=this.availability_zone,
-            beat=self.heartbeat,
+            heartbeat=self.heartbeat,
             age_ms=age // timedelta(milliseconds=1),
             version=self.version,
             services=tuple(sorted(services)),
@@ -271,7 +273,7 @@
         return TargetsUpdate(
             daemon_id=daemon_id,
             availability_zone=member.availability_zone,
-            beat=held.heartbeat,
+            heartbeat=held.heartbeat,
             age_ms=-(-age // timedelta(milliseconds=1)),
             version=held.targets_version,
             services=tuple(sorted(covered)),
--- a/src/wagtailstep/controllers/ejection.py
+++ b/src/wagtailstep/controllers/ejection.py
@@ -112,7 +112,9 @@
         state = self.streams.get(event.stream)
         if state is not None:
             state.caught_up = True
-            state.fresh_until = event.asked_at + timedelta(milliseconds=FRESHNESS_MS)
+            state.fresh_until = event.read_sent_at + timedelta(
+                milliseconds=FRESHNESS_MS
+            )
             state.record_read_position(self.clock.monotonic())
             self.write_ejected()
         return []
@@ -152,7 +154,7 @@
     def follow_streams(self) -> list[Any]:
         """Follow the streams of services that are served or requested here."""
         board = self.blackboard
-        services = {*board.this_member.services, *board.wanted_services}
+        services = {*board.this_member.services, *board.requested_services}
         effects = []
         for service in sorted(services):
             stream = ejection_stream(service)
@@ -272,7 +274,7 @@
             return "restarted"
         if lease.expires_at <= now:
             return "lapsed"
-        limit = MAX_HOLD_FACTOR * compute_backoff(ejection.strikes, BASE_EJECTION_S)
+        limit = MAX_HOLD_FACTOR * compute_backoff(ejection.counts, BASE_EJECTION_S)
         if now - lease.first_read_at > limit:
             return "held-longest"
         return ""
@@ -288,9 +290,9 @@
         effects: list[Any] = []
         if now >= lease.renew_at:
             lease.renew_at = now + timedelta(seconds=CLAIM_RETRY_S)
-            reason, strikes = "renewal", ejection.strikes
+            reason, strikes = "renewal", ejection.counts
             effects += self.claim(state, ejection.target_id, reason, strikes)
-        end = lease.first_read_at + compute_backoff(ejection.strikes, BASE_EJECTION_S)
+        end = lease.first_read_at + compute_backoff(ejection.counts, BASE_EJECTION_S)
         if now >= end and now >= lease.next_probe_at:
             lease.next_probe_at = now + timedelta(seconds=PROBE_INTERVAL_S)
             timeout = timedelta(milliseconds=PROBE_TIMEOUT_MS)
--- a/src/wagtailstep/controllers/evidence_sharing.py
+++ b/src/wagtailstep/controllers/evidence_sharing.py
@@ -31,9 +31,9 @@
     EvidenceRequest,
     EvidenceRow,
     RouteEvidence,
-    SickNotice,
     Symptom,
-    pack_entry,
+    UnhealthyNotice,
+    pack_evidence,
 )
 from wagtailstep.models.fleet import Member, MemberState
 from wagtailstep.utils.codec import encode_message
@@ -209,7 +209,7 @@
         for target in [service.targets[n] for n in names if n in service.targets]:
             requested = sharing.requested_until.get(target.target_id, now) > now
             for entry in drain_entries(target, requested):
-                (answers if requested else alerts).append(pack_entry(entry))
+                (answers if requested else alerts).append(pack_evidence(entry))
         if not answers and not alerts:
             return None
         return EvidenceDigest(
@@ -242,7 +242,7 @@
         members = self.rng.sample(sharing.members, count)
         return self.send(members, request, now)
 
-    def send_notice(self, notice: SickNotice, now: timedelta) -> list[SendToPeer]:
+    def send_notice(self, notice: UnhealthyNotice, now: timedelta) -> list[SendToPeer]:
         """Notify the other daemons that a target is unhealthy."""
         sharing = self.get_sharing(notice.service)
         members = self.refresh_members(sharing, notice.service, now).members
@@ -251,7 +251,7 @@
     def send(
         self,
         members: Iterable[Member],
-        message: EvidenceDigest | EvidenceRequest | SickNotice,
+        message: EvidenceDigest | EvidenceRequest | UnhealthyNotice,
         now: timedelta,
         urgent: bool = False,
     ) -> list[SendToPeer]:
--- a/src/wagtailstep/controllers/gate.py
+++ b/src/wagtailstep/controllers/gate.py
@@ -29,15 +29,15 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.fleet import Target, TargetStanding, TargetState
 from wagtailstep.models.gate import (
-    AttemptRevoked,
+    AttemptRevocationRequested,
     GateRequest,
     GateRequestAbandoned,
     GateRequestArrived,
     GateRequestEnded,
     RefuseRequest,
+    ReportAttemptState,
     RunResult,
     StartRequest,
-    TellAttemptState,
 )
 from wagtailstep.models.request import Blame
 from wagtailstep.models.settings import DaemonSettings
@@ -136,9 +136,9 @@
         return []
 
     @handle.register
-    def revoke(self, event: AttemptRevoked) -> list[Any]:
+    def revoke(self, event: AttemptRevocationRequested) -> list[Any]:
         """Revoke an attempt if it has not arrived, and report its state."""
-        return [TellAttemptState(self.history.revoke(event.attempt_id))]
+        return [ReportAttemptState(self.history.revoke(event.attempt_id))]
 
     def get_refusal_error(self, request: GateRequest) -> RequestError | None:
         """Return the error for a request that can't be accepted, or ``None``."""
@@ -169,7 +169,7 @@
         A backend server that fails immediately always has free slots, so it would
         otherwise attract requests.
         """
-        if target.standing <= request.chosen_standing:
+        if target.standing <= request.expected_standing:
             return False
         limit = TargetStanding.FAILING if request.idempotent else TargetStanding.DOUBTED
         return target.standing >= limit
@@ -205,12 +205,12 @@
 
         Under overload a longer queue delays all responses without raising throughput.
         """
-        if request.aim_at is None:
+        if request.aim_deadline is None:
             return False
         if starts_at - self.clock.monotonic() <= MAX_WAIT_PAST_AIM:
             return False
         reserve = AIM_RESERVE_FACTOR * queue.expected_duration(request)
-        return starts_at + reserve > request.aim_at
+        return starts_at + reserve > request.aim_deadline
 
     def count_waiting(self) -> dict[str, int]:
         """Return the number of requests that wait for a slot, by service."""
--- a/src/wagtailstep/controllers/health.py
+++ b/src/wagtailstep/controllers/health.py
@@ -71,7 +71,7 @@
             penalty=1.0
             + PENALTY_PER_THRESHOLD * max(0.0, suspicion - PENALTY_FREE_FRACTION),
             latency=None if latency is None else timedelta(seconds=latency),
-            steer_away=state.avoided,
+            avoided=state.avoided,
             ramp=state.advance_ramp(now),
         )
 
--- a/src/wagtailstep/controllers/member_contacts.py
+++ b/src/wagtailstep/controllers/member_contacts.py
@@ -11,7 +11,7 @@
 from wagtailstep.models.events import (
     AppendToLog,
     ListMembers,
-    LogAppendSettled,
+    LogAppendFinished,
     RegisterMember,
     SendToPeer,
 )
@@ -154,7 +154,7 @@
         expected = self.page_after if self.reading_pages else ""
         if page.start == expected:
             self._schedule_page(address, page.after, now)
-        self.start_catch_up(address, page.known, now, table)
+        self.start_catch_up(address, page.known_count, now, table)
 
     def start_catch_up(
         self, address: str, known: int, now: timedelta, table: MemberTable
@@ -181,7 +181,7 @@
         self.page_source = address
         self.next_page_at = now + timedelta(milliseconds=PAGE_INTERVAL_MS)
 
-    def complete_append(self, event: LogAppendSettled, now: timedelta) -> None:
+    def complete_append(self, event: LogAppendFinished, now: timedelta) -> None:
         """Handle the outcome of an append to the stream of members."""
         if event.append_id != self.append_id:
             return
--- a/src/wagtailstep/controllers/member_updates.py
+++ b/src/wagtailstep/controllers/member_updates.py
@@ -5,7 +5,7 @@
 import attrs
 
 from wagtailstep.models.fleet import Member, MemberState
-from wagtailstep.models.membership import MemberChange, MemberEntry, Updates
+from wagtailstep.models.membership import MemberChange, MemberEntry, MemberUpdates
 
 MAX_UPDATE_BYTES_PER_MESSAGE = 1_000
 CHANGE_OVERHEAD_BYTES = 13
@@ -50,13 +50,13 @@
         """Discard all queued updates."""
         self.pending.clear()
 
-    def pop_updates(self, exclude: str = "") -> Updates:
+    def pop_updates(self, exclude: str = "") -> MemberUpdates:
         """Return updates for one message: urgent ones first, then the least sent.
 
         :param exclude: receiver of the message, which needs no update about itself.
         """
         if not self.pending:
-            return Updates()
+            return MemberUpdates()
         entries: list[MemberEntry] = []
         changes: list[MemberChange] = []
         size = 0
@@ -76,7 +76,7 @@
             else:
                 changes.append(MemberChange.from_member(member))
             self._count_send(daemon_id, update)
-        return Updates(tuple(entries), tuple(changes))
+        return MemberUpdates(tuple(entries), tuple(changes))
 
     def _sort_by_priority(self) -> list[str]:
         return sorted(
--- a/src/wagtailstep/controllers/membership.py
+++ b/src/wagtailstep/controllers/membership.py
@@ -14,7 +14,7 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import (
     FollowStream,
-    LogAppendSettled,
+    LogAppendFinished,
     LogRecordsRead,
     MemberRegistered,
     MembersListed,
@@ -31,9 +31,9 @@
     MemberEntry,
     MembersPage,
     MembersRequest,
+    MemberUpdates,
     Ping,
     PingRequest,
-    Updates,
 )
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.utils.clock import Clock
@@ -123,7 +123,7 @@
         return []
 
     @handle.register
-    def _(self, event: LogAppendSettled) -> list[Any]:
+    def _(self, event: LogAppendFinished) -> list[Any]:
         self.contacts.complete_append(event, self.clock.monotonic())
         return []
 
@@ -156,7 +156,7 @@
         source = self.blackboard.members.get(sender)
         if source is not None:
             address = source.peer_address
-            self.contacts.start_catch_up(address, message.known, now, self.table)
+            self.contacts.start_catch_up(address, message.known_count, now, self.table)
         if message.sequence in self.prober.relays:
             updates = self._pop_updates_for("")
             effects.append(self.prober.forward_ack(message.sequence, updates))
@@ -173,7 +173,7 @@
 
     @_receive.register
     def _(self, message: MembersRequest, sender: str) -> list[Any]:
-        effects = self._merge(Updates(entries=(message.requester,)))
+        effects = self._merge(MemberUpdates(entries=(message.requester,)))
         page = self._build_page(message.after, sender)
         address = message.requester.peer_address
         if sender in self.table.tombstones:
@@ -183,7 +183,7 @@
     @_receive.register
     def _(self, message: MembersPage, sender: str) -> list[Any]:
         # Each daemon reads the pages itself, so their entries are not propagated.
-        effects = self._merge(Updates(entries=message.entries), propagate=False)
+        effects = self._merge(MemberUpdates(entries=message.entries), propagate=False)
         source = self.blackboard.members.get(sender)
         if source is not None:
             now = self.clock.monotonic()
@@ -207,14 +207,14 @@
         address = self.blackboard.this_member.peer_address
         return Ping(self.prober.sequence, address, self._pop_updates_for(receiver))
 
-    def _pop_updates_for(self, receiver: str) -> Updates:
+    def _pop_updates_for(self, receiver: str) -> MemberUpdates:
         updates = self.updates.pop_updates(receiver)
         change = self.table.get_suspicion(receiver)
         if change is None:
             return updates
-        return Updates(updates.entries, (*updates.changes, change))
+        return MemberUpdates(updates.entries, (*updates.changes, change))
 
-    def _merge(self, updates: Updates, propagate: bool = True) -> list[Any]:
+    def _merge(self, updates: MemberUpdates, propagate: bool = True) -> list[Any]:
         effects: list[Any] = []
         for entry in updates.entries:
             effects += self._merge_entry(entry, propagate)
@@ -334,7 +334,7 @@
             milliseconds=SERVICES_UPDATE_INTERVAL_MS
         )
         serves = tuple(sorted(local))
-        services = serves + tuple(sorted(board.wanted_services - local))
+        services = serves + tuple(sorted(board.requested_services - local))
         changed = attrs.evolve(this, services=services, serves=serves, state=state)
         if changed == this:
             return []
--- a/src/wagtailstep/controllers/published_table.py
+++ b/src/wagtailstep/controllers/published_table.py
@@ -34,7 +34,7 @@
     """Keep the newest published table in force.
 
     :param blackboard: ``table``, ``table_known``, ``table_since`` and
-        ``wanted_services`` are written.
+        ``requested_services`` are written.
     :param read_document: parses a document, and raises
         :class:`wagtailstep.exceptions.DecodeError` if it is malformed.
     """
@@ -141,4 +141,4 @@
         board.table_since = self.clock.utc()
         services = table.host_routes.services()
         if len(services) <= MAX_PREFETCHED_SERVICES:
-            board.wanted_services |= services
+            board.requested_services |= services
--- a/src/wagtailstep/controllers/requested_services.py
+++ b/src/wagtailstep/controllers/requested_services.py
@@ -27,7 +27,7 @@
 
 
 class RequestedServices:
-    """Keep ``blackboard.wanted_services`` bounded and up to date."""
+    """Keep ``blackboard.requested_services`` bounded and up to date."""
 
     def __init__(self, blackboard: Blackboard, clock: Clock) -> None:
         self.blackboard = blackboard
@@ -51,7 +51,7 @@
                 f"the maximum of {MAX_REQUESTED_SERVICES} services; retry later"
             )
         self.by_name[service] = RequestedService(now, now)
-        self.blackboard.wanted_services.add(service)
+        self.blackboard.requested_services.add(service)
 
     def expire(self) -> None:
         """Remove services that were not requested within the retention period."""
@@ -61,7 +61,7 @@
             if requested.last_requested_at >= oldest_kept:
                 return
             del self.by_name[service]
-            self.blackboard.wanted_services.discard(service)
+            self.blackboard.requested_services.discard(service)
 
     def is_being_discovered(self, service: str) -> bool:
         """Return whether the targets of a service may still be being discovered.
--- a/src/wagtailstep/controllers/routing.py
+++ b/src/wagtailstep/controllers/routing.py
@@ -267,7 +267,7 @@
         if target_id in board.ejected or not self.has_live_gate(target):
             return False
         health = board.health.get(target_id, _HEALTHY)
-        same_avoidance = health.steer_away == candidate.is_avoided
+        same_avoidance = health.avoided == candidate.is_avoided
         return same_avoidance and board.table.weight(target_id) == candidate.weight
 
     def find_candidates(self, service: str) -> list[Candidate]:
@@ -282,7 +282,7 @@
                 continue
             health = board.health.get(target_id, _HEALTHY)
             effective_weight = weight * max(health.ramp, MIN_RAMP)
-            is_avoided = health.steer_away
+            is_avoided = health.avoided
             found.append(
                 Candidate(target, weight, effective_weight, health, is_avoided)
             )
--- a/src/wagtailstep/controllers/table.py
+++ b/src/wagtailstep/controllers/table.py
@@ -17,7 +17,7 @@
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import (
     FollowStream,
-    LogAppendSettled,
+    LogAppendFinished,
     LogCaughtUp,
     LogGap,
     LogRecordsRead,
@@ -145,7 +145,7 @@
         return [RecordEvent("table-log-gap", fields)]
 
     @handle.register
-    def _(self, event: LogAppendSettled) -> list[Any]:
+    def _(self, event: LogAppendFinished) -> list[Any]:
         return list(self.snapshot_writer.complete_append(event))
 
     @handle.register
@@ -205,7 +205,7 @@
         before = self.reader.position
         outcomes: list[EditOutcome] = []
         for record in records:
-            outcomes += self.reader.read_log(record)
+            outcomes += self.reader.apply_log_record(record)
         return self.report_progress(before, outcomes)
 
     def hold_records(self, records: list[LogRecord]) -> list[Any]:
@@ -253,7 +253,7 @@
             return effects
         outcomes: list[EditOutcome] = []
         for record in records:
-            outcomes += self.reader.offer(record)
+            outcomes += self.reader.apply_record(record)
             if not record.data:
                 self.snapshot_writer.defer()
         effects += self.report_progress(before, outcomes)
@@ -267,7 +267,7 @@
         fold = self.reader.fold
         if fold is None or digest.position < 0:
             return []
-        local_hash = fold.hash_at(digest.version)
+        local_hash = fold.content_hash_at(digest.version)
         if local_hash is None or local_hash == digest.content_hash:
             return []
         fields = {"other": sender, "version": str(digest.version)}
@@ -281,9 +281,9 @@
     def report_progress(self, before: int, outcomes: list[EditOutcome]) -> list[Any]:
         """Report decided edits, and put a newer version in force."""
         effects: list[Any] = list(
-            self.snapshot_writer.record_snapshots(self.reader.seen)
+            self.snapshot_writer.record_snapshots(self.reader.checked_snapshots)
         )
-        self.reader.seen.clear()
+        self.reader.checked_snapshots.clear()
         if self.reader.fold is not None:
             self.snapshot_writer.record_edits(self.reader.fold)
         if self.blackboard.table_known:
--- a/src/wagtailstep/controllers/table_snapshots.py
+++ b/src/wagtailstep/controllers/table_snapshots.py
@@ -6,11 +6,11 @@
 
 import attrs
 
-from wagtailstep.models.events import AppendToLog, LogAppendSettled, RecordEvent
+from wagtailstep.models.events import AppendToLog, LogAppendFinished, RecordEvent
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.models.table_edits import TABLE_STREAM, TableSnapshotPart
 from wagtailstep.models.table_fold import TableFold
-from wagtailstep.models.table_reader import SeenSnapshot
+from wagtailstep.models.table_reader import CheckedSnapshot
 from wagtailstep.models.table_snapshot import split_snapshot
 from wagtailstep.utils.clock import Clock
 from wagtailstep.utils.ids import make_id
@@ -61,7 +61,9 @@
         """Draw a new delay, since a member has seen a snapshot in the log."""
         self.due_at = None
 
-    def record_snapshots(self, snapshots: Iterable[SeenSnapshot]) -> list[RecordEvent]:
+    def record_snapshots(
+        self, snapshots: Iterable[CheckedSnapshot]
+    ) -> list[RecordEvent]:
         """Defer the next snapshot after each valid one, and report invalid ones."""
         events: list[RecordEvent] = []
         for seen in snapshots:
@@ -117,7 +119,7 @@
         self.append_id = f"{part.snapshot_id}-{part.index}"
         return [AppendToLog(TABLE_STREAM, part, self.append_id)]
 
-    def complete_append(self, event: LogAppendSettled) -> list[AppendToLog]:
+    def complete_append(self, event: LogAppendFinished) -> list[AppendToLog]:
         """Append the next part, or draw a new delay at the end or on failure."""
         if event.append_id != self.append_id:
             return []
--- a/src/wagtailstep/controllers/target_judge.py
+++ b/src/wagtailstep/controllers/target_judge.py
@@ -20,10 +20,10 @@
 from wagtailstep.models.fleet import TargetStanding
 from wagtailstep.models.gate import (
     LocalCallFailed,
+    ResponseWaitEnded,
     WorkEnded,
     WorkResult,
     WorkStarted,
-    WorkStopped,
 )
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.utils.clock import Clock
@@ -152,7 +152,7 @@
         return []
 
     @handle.register
-    def _(self, event: WorkStopped) -> list[Any]:
+    def _(self, event: ResponseWaitEnded) -> list[Any]:
         self.running.pop(event.serial, None)
         return []
 
@@ -195,7 +195,7 @@
         typical_s = self.typical_s.get(event.route)
         if typical_s is None:
             return True
-        return event.took < timedelta(seconds=typical_s * SHORT_DEADLINE_FACTOR)
+        return event.duration < timedelta(seconds=typical_s * SHORT_DEADLINE_FACTOR)
 
     def is_explained_by_failed_call(self) -> bool:
         """Return whether a failed call explains a failure; consume that call."""
@@ -209,7 +209,7 @@
 
     def record_duration(self, event: WorkEnded) -> None:
         """Add a sample to the typical duration of a route."""
-        seconds = event.took.total_seconds()
+        seconds = event.duration.total_seconds()
         typical_s = self.typical_s.get(event.route, seconds)
         self.typical_s[event.route] = typical_s + DURATION_WEIGHT * (
             seconds - typical_s
--- a/src/wagtailstep/controllers/target_leases.py
+++ b/src/wagtailstep/controllers/target_leases.py
@@ -99,7 +99,7 @@
             for entry in update.targets
         )
         made_at = now - timedelta(milliseconds=update.age_ms)
-        self.renew(update.daemon_id, update.beat, made_at, update.version)
+        self.renew(update.daemon_id, update.heartbeat, made_at, update.version)
         held = self.held_targets.get(update.daemon_id)
         if held is None or not self._has_new_targets(update, held):
             return False
@@ -111,14 +111,14 @@
         self._withdraw(held)
         held.targets = targets + others
         held.targets_version = update.version
-        held.targets_heartbeat = update.beat
+        held.targets_heartbeat = update.heartbeat
         held.services = covered
         if now - held.renewed_at < self.lease:
             self._publish(held)
         return True
 
     def _has_new_targets(self, update: TargetsUpdate, held: HeldTargets) -> bool:
-        if update.beat < held.targets_heartbeat:
+        if update.heartbeat < held.targets_heartbeat:
             return False
         if update.version != held.targets_version:
             return True
--- a/src/wagtailstep/controllers/target_queue.py
+++ b/src/wagtailstep/controllers/target_queue.py
@@ -109,6 +109,6 @@
     requests are answered than in order of arrival. Others of the same priority don't
     starve, since their due times do not move.
     """
-    useful_until = request.aim_at or request.deadline
+    useful_until = request.aim_deadline or request.deadline
     useful_for = useful_until - request.arrived_at
     return request.priority, request.arrived_at + DUE_TIME_RATIO * useful_for
--- a/src/wagtailstep/controllers/tickets.py
+++ b/src/wagtailstep/controllers/tickets.py
@@ -15,7 +15,7 @@
 from wagtailstep.exceptions import BadRequestError, LeavingError
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.fleet import MemberState
-from wagtailstep.models.idempotency import Decision, PassOn, Refuse, Ticket
+from wagtailstep.models.idempotency import Decision, Refuse, RelayToDaemon, Ticket
 from wagtailstep.models.request import RequestContext
 from wagtailstep.models.settings import RequestSettings
 from wagtailstep.utils.clock import Clock
@@ -115,7 +115,7 @@
             return Refuse(
                 build_unknown_outcome_error("the daemon that issued its ticket is gone")
             )
-        return PassOn(ticket.daemon_id)
+        return RelayToDaemon(ticket.daemon_id)
 
     def decide_local(
         self, ticket: Ticket, request: RequestContext, fingerprint: str
--- a/src/wagtailstep/models/packed_rows.py
+++ b/src/wagtailstep/models/packed_rows.py
@@ -1,18 +1,18 @@
-"""A compact mapping for the many rows of the table that hold one number each."""
+"""A compact mapping for the many table rows that hold a single number."""
 
 import array
 import bisect
 from collections.abc import Callable, Iterable, Iterator, MutableMapping
 from typing import Generic, TypeVar
 
-MIN_CHANGES = 512
-CHANGES_SHARE = 1 / 32
+MIN_CHANGES_TO_MERGE = 512
+MERGE_RATIO = 1 / 32
 
 _Row = TypeVar("_Row")
 
 
 class _KeyView:
-    """The sorted packed keys as a sequence that :mod:`bisect` can search."""
+    """Read-only view of the sorted, packed keys that :mod:`bisect` can search."""
 
     def __init__(self, blob: bytes, ends: "array.array[int]") -> None:
         self.blob = blob
@@ -44,31 +44,32 @@
 
 
 class PackedRows(MutableMapping[str, _Row], Generic[_Row]):
-    """Rows of one key and one number, in about the space of their keys.
+    """Rows of a key and a number that need little more memory than their keys.
 
-    Reads give rows in the order of their keys, as UTF-8. Changes gather in a
-    dictionary and are merged into the packed form when they are a share of it.
+    Iteration follows the UTF-8 order of the keys. Changes are collected in a
+    dictionary and merged into the packed form once there are more of them than
+    ``MIN_CHANGES_TO_MERGE`` and ``MERGE_RATIO`` of the packed rows.
 
     :param make_row: builds a row from its key and its number.
-    :param number_of: gives the number of a row.
-    :param rows: the first rows.
+    :param get_number: returns the number of a row.
+    :param rows: keys and numbers of the initial rows.
     """
 
     def __init__(
         self,
         make_row: Callable[[str, float], _Row],
-        number_of: Callable[[_Row], float],
+        get_number: Callable[[_Row], float],
         rows: Iterable[tuple[str, float]] = (),
     ) -> None:
         self.make_row = make_row
-        self.number_of = number_of
+        self.get_number = get_number
         self.changes: dict[str, float | None] = {}
         self.count = 0
         self._pack(sorted((key.encode(), number) for key, number in rows))
 
     def __copy__(self) -> "PackedRows[_Row]":
         """Return a copy that shares the packed form, which is never changed."""
-        other = PackedRows(self.make_row, self.number_of)
+        other = PackedRows(self.make_row, self.get_number)
         other.numbers = self.numbers
         other.packed_keys = self.packed_keys
         other.changes = dict(self.changes)
@@ -76,7 +77,7 @@
         return other
 
     def _pack(self, pairs: Iterable[tuple[bytes, float]]) -> None:
-        """Take over pairs of key and number, sorted by key, one at a time."""
+        """Replace the packed form by pairs of key and number, sorted by key."""
         blob = bytearray()
         ends = array.array("I")
         numbers = array.array("d")
@@ -90,17 +91,17 @@
         self.count = len(numbers)
 
     def load_sorted(self, rows: Iterable[tuple[str, float]]) -> None:
-        """Replace all rows, holding no more than one of them as an object.
+        """Replace all rows, with no more than one of them in memory as an object.
 
-        :param rows: keys and numbers, in the order in which this mapping gives them.
-        :raises ValueError: if they are in another order.
+        :param rows: keys and numbers, in the order of this mapping's iteration.
+        :raises ValueError: if they are in a different order.
         """
         self._pack(_check_sorted((key.encode(), number) for key, number in rows))
 
     def _find_packed(self, key: str) -> float | None:
-        wanted = key.encode()
-        index = bisect.bisect_left(self.packed_keys, wanted)
-        if index < len(self.packed_keys) and self.packed_keys[index] == wanted:
+        encoded = key.encode()
+        index = bisect.bisect_left(self.packed_keys, encoded)
+        if index < len(self.packed_keys) and self.packed_keys[index] == encoded:
             return self.numbers[index]
         return None
 
@@ -112,7 +113,9 @@
 
     def _change(self, key: str, number: float | None) -> None:
         self.changes[key] = number
-        if len(self.changes) > max(MIN_CHANGES, CHANGES_SHARE * len(self.numbers)):
+        if len(self.changes) > max(
+            MIN_CHANGES_TO_MERGE, MERGE_RATIO * len(self.numbers)
+        ):
             self._merge_changes()
 
     def _merge_changes(self) -> None:
@@ -124,11 +127,11 @@
                 merged[key.encode()] = number
         self._pack(sorted(merged.items()))
 
-    def numbers_from(self, prefix: str = "") -> Iterator[tuple[str, float]]:
-        """Yield keys that begin with a prefix, and their numbers, in order."""
+    def numbers_with_prefix(self, prefix: str = "") -> Iterator[tuple[str, float]]:
+        """Yield the keys that begin with a prefix, with their numbers, in order."""
         start = prefix.encode()
         if not self.changes:
-            yield from self._packed_from(start)
+            yield from self._packed_with_prefix(start)
             return
         changed = sorted(key for key in self.changes if key.startswith(prefix))
         changed_at = 0
@@ -147,7 +150,7 @@
         for key in changed[changed_at:]:
             yield from self._yield_change(key)
 
-    def _packed_from(self, start: bytes) -> Iterator[tuple[str, float]]:
+    def _packed_with_prefix(self, start: bytes) -> Iterator[tuple[str, float]]:
         keys, numbers = self.packed_keys, self.numbers
         if not start:
             yield from zip(map(bytes.decode, keys), numbers, strict=True)
@@ -176,7 +179,7 @@
     def __setitem__(self, key: str, row: _Row) -> None:
         """Set a row."""
         self.count += self.find_number(key) is None
-        self._change(key, self.number_of(row))
+        self._change(key, self.get_number(row))
 
     def __delitem__(self, key: str) -> None:
         """Remove a row.
@@ -190,7 +193,7 @@
 
     def __iter__(self) -> Iterator[str]:
         """Yield the keys in order."""
-        return (key for key, _ in self.numbers_from())
+        return (key for key, _ in self.numbers_with_prefix())
 
     def __len__(self) -> int:
         """Return the number of rows."""
--- a/src/wagtailstep/models/table_fold.py
+++ b/src/wagtailstep/models/table_fold.py
@@ -1,4 +1,4 @@
-"""The fold over the stream ``table``: every reader decides each record alike."""
+"""The fold over the log stream ``table``: all readers decide each record alike."""
 
 import collections
 import struct
@@ -23,7 +23,7 @@
 from wagtailstep.models.table_rules import check_row, check_services
 from wagtailstep.utils.codec import decode_message
 
-RECENT_EDITS = 1_024
+MAX_REMEMBERED_EDITS = 1_024
 HASH_MASK = (1 << 64) - 1
 
 _NUMBER = struct.Struct("<d")
@@ -39,7 +39,7 @@
 def hash_row(row_id: RowId, row: Row) -> int:
     """Return the hash of one row.
 
-    Columns at their default are left out, so a new column changes no hash.
+    Columns with default values are omitted, so that adding a column keeps hashes.
     """
     columns = row_id.kind.columns
     if row_id.kind in PACKED_KINDS:
@@ -54,12 +54,12 @@
 
 
 def hash_table(table: Table) -> int:
-    """Return the content hash of a table, from its rows."""
+    """Compute the content hash of a table from its rows."""
     total = 0
     for kind in RowKind:
         rows = table.rows(kind)
         if isinstance(rows, PackedRows):
-            pairs = rows.numbers_from()
+            pairs = rows.numbers_with_prefix()
             total += sum(hash_number(kind, key, number) for key, number in pairs)
             continue
         total += sum(hash_row(RowId(kind, key), row) for key, row in rows.items())
@@ -68,18 +68,19 @@
 
 @attrs.define
 class TableFold:
-    """The table after the records before ``next_offset``, and what decides the next.
+    """The table after all records before ``next_offset``; decides on the next record.
 
-    An edit is accepted if none of its rows changed after the version that it was
-    based on and if the table stays valid. Edits are remembered for the last
-    ``RECENT_EDITS`` versions; an edit based on an older version is refused.
+    An edit is accepted if the table stays valid and none of the edit's rows changed
+    since the version that the edit is based on. Edits of the last
+    ``MAX_REMEMBERED_EDITS`` versions are retained; an edit based on an older version
+    is refused.
 
     :param table: the table; changed in place.
     :param next_offset: offset of the next record.
-    :param content_hash: sum of the hashes of all rows.
+    :param content_hash: sum of the hashes of all rows, modulo 2**64.
     :param horizon: edits based on an older version than this are refused.
-    :param accepted: the remembered accepted edits, oldest first.
-    :param refused: the remembered refused edits by their identifiers.
+    :param accepted: the retained accepted edits, oldest first.
+    :param refused: the retained refused edits by their identifiers.
     """
 
     table: Table = attrs.field(factory=Table)
@@ -102,13 +103,15 @@
         return self.table.version
 
     def apply(self, record: LogRecord) -> EditOutcome | None:
-        """Decide the next record.
+        """Apply the next record.
 
         :return: the outcome of an edit, or ``None`` for any other record.
         :raises ValueError: if the record is not the next one.
         """
         if record.offset != self.next_offset:
-            raise ValueError(f"record {record.offset} is not {self.next_offset}")
+            raise ValueError(
+                f"got record {record.offset} instead of {self.next_offset}"
+            )
         self.next_offset += 1
         if not record.data:
             return None
@@ -133,7 +136,7 @@
             self._check_base(edit)
             changed = self._change_rows(edit.changes)
         except TableConflictError as error:
-            return self._refuse(edit, str(error), error.winner)
+            return self._refuse(edit, str(error), error.conflicting_edit_id)
         except TableError as error:
             return self._refuse(edit, str(error), "")
         return self._accept(edit, offset, changed)
@@ -152,20 +155,23 @@
                 f"least {self.horizon}; export the table again and repeat the edit"
             )
         for row_id, _ in edit.changes.items():
-            winner = self.last_changes.get(row_id)
-            if winner is not None and winner.version > edit.base_version:
+            conflicting_edit = self.last_changes.get(row_id)
+            if (
+                conflicting_edit is not None
+                and conflicting_edit.version > edit.base_version
+            ):
                 raise TableConflictError(
-                    f"row {row_id} was changed by {winner.describe()} after version "
-                    f"{edit.base_version}; look at the row and repeat the edit if it "
-                    f"is still wanted",
-                    winner.edit_id,
+                    f"row {row_id} was changed by {conflicting_edit.describe()} after "
+                    f"version {edit.base_version}; look at the row and repeat the "
+                    f"edit if it is still wanted",
+                    conflicting_edit.edit_id,
                 )
 
     def _change_rows(self, changes: TableChanges) -> int:
-        """Change the rows, or none if the table would not be valid.
+        """Change all rows, or none if the table would become invalid.
 
-        :return: what the content hash changes by.
-        :raises TableError: if the table would not be valid.
+        :return: the change of the content hash.
+        :raises TableError: if the table would become invalid.
         """
         for row_id, row in changes.items():
             if row is not None:
@@ -207,24 +213,25 @@
             edit.utc,
             tuple(row_id for row_id, _ in edit.changes.items()),
         )
-        self.remember(accepted)
+        self.add_accepted_edit(accepted)
         return EditOutcome(edit.edit_id, EditVerdict.ACCEPTED, self.version)
 
-    def remember(self, edit: AcceptedEdit) -> None:
-        """Remember the newest accepted edit, and forget the oldest of too many."""
+    def add_accepted_edit(self, edit: AcceptedEdit) -> None:
+        """Add the newest accepted edit, and discard the oldest beyond the limit."""
         self.accepted.append(edit)
         self._index(edit)
-        if len(self.accepted) > RECENT_EDITS:
-            self._forget_oldest()
+        if len(self.accepted) > MAX_REMEMBERED_EDITS:
+            self._discard_oldest()
 
     def _index(self, edit: AcceptedEdit) -> None:
         self.by_id[edit.edit_id] = edit
         for row_id in edit.rows:
             self.last_changes[row_id] = edit
 
-    def _forget_oldest(self) -> None:
+    def _discard_oldest(self) -> None:
         oldest = self.accepted.popleft()
-        # A copy of a forgotten edit is based on an older version than the horizon.
+        # Raising the horizon also refuses duplicates of the discarded edit, since they
+        # are based on an older version.
         self.horizon = oldest.version
         del self.by_id[oldest.edit_id]
         for row_id in oldest.rows:
@@ -236,7 +243,7 @@
             edit.edit_id, EditVerdict.REFUSED, self.version, reason, winner
         )
         self.refused[edit.edit_id] = outcome
-        if len(self.refused) > RECENT_EDITS:
+        if len(self.refused) > MAX_REMEMBERED_EDITS:
             del self.refused[next(iter(self.refused))]
         return outcome
 
@@ -244,14 +251,14 @@
         return EditOutcome("", EditVerdict.MALFORMED, self.version, reason)
 
     def outcome_of(self, edit_id: str) -> EditOutcome | None:
-        """Return what became of an edit, or ``None`` if it is not remembered."""
+        """Return the outcome of an edit, or ``None`` if it is not retained."""
         accepted = self.by_id.get(edit_id)
         if accepted is not None:
             return EditOutcome(edit_id, EditVerdict.ACCEPTED, accepted.version)
         return self.refused.get(edit_id)
 
-    def hash_at(self, version: int) -> int | None:
-        """Return the content hash of a remembered version, or ``None``."""
+    def content_hash_at(self, version: int) -> int | None:
+        """Return the content hash of a version, or ``None`` if it is not retained."""
         if version == self.version:
             return self.content_hash
         first = self.accepted[0].version if self.accepted else self.version
