--- a/benchmarks/histories/fleet.py
+++ b/benchmarks/histories/fleet.py
@@ -126,7 +126,7 @@
             apply=self.runtime.apply_all,
         )
         self.runtime.controllers = (self.routing, self.guard)
-        self.runtime.listeners[RequestDecided] = self.entry.settle
+        self.runtime.listeners[RequestDecided] = self.entry.deliver_decision
         await self.runtime.start()
 
     def crash(self) -> None:
--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -123,7 +123,7 @@
         apply=runtime.apply_all,
     )
     runtime.controllers = (routing, guard)
-    runtime.listeners[RequestDecided] = entry.settle
+    runtime.listeners[RequestDecided] = entry.deliver_decision
     await runtime.start()
     return Bench(entry, runtime, log)
 
--- a/benchmarks/soak/callers.py
+++ b/benchmarks/soak/callers.py
@@ -12,7 +12,7 @@
 from wagtailstep.exceptions import RequestError
 from wagtailstep.models.settings import RequestSettings
 from wagtailstep.models.verdict import Verdict
-from wagtailstep.network.bodies import read_whole
+from wagtailstep.network.bodies import read_complete_body
 from wagtailstep.network.http_client import HttpClient
 from wagtailstep.network.http_connection import HttpRequest
 from wagtailstep.network.problems import yield_body
@@ -95,7 +95,7 @@
         status, is_own, cut = NO_ANSWER, True, False
         try:
             answer = await self.client.send(request)
-            data = await read_whole(answer)
+            data = await read_complete_body(answer)
             status, is_own = answer.status, data == f"{key}\n".encode()
         except RequestError as error:
             cut = error.verdict is not Verdict.NOT_RUN
--- a/benchmarks/soak/fleet.py
+++ b/benchmarks/soak/fleet.py
@@ -17,7 +17,7 @@
     MembershipSettings,
     RequestSettings,
 )
-from wagtailstep.network.bodies import read_whole
+from wagtailstep.network.bodies import read_complete_body
 from wagtailstep.network.http_client import HttpClient
 from wagtailstep.network.http_connection import HttpRequest
 from wagtailstep.network.memory_channel import InMemoryPeerChannel, MemoryNetwork
@@ -208,7 +208,7 @@
             time_left=BEAT_TIMEOUT,
         )
         try:
-            await read_whole(await client.send(request))
+            await read_complete_body(await client.send(request))
         except RequestError:
             # The daemon is down; the next heartbeat tells again.
             pass
--- a/examples/demo_run.py
+++ b/examples/demo_run.py
@@ -25,7 +25,7 @@
 from wagtailstep.models.settings import LogSettings, RequestSettings
 from wagtailstep.models.status import DaemonStatus
 from wagtailstep.models.verdict import Verdict
-from wagtailstep.network.bodies import read_whole
+from wagtailstep.network.bodies import read_complete_body
 from wagtailstep.network.daemon_client import DaemonClient
 from wagtailstep.network.http_client import HttpClient
 from wagtailstep.network.log_client import HttpLogService
@@ -183,7 +183,9 @@
         """Send a command to a stand-in and return its JSON answer."""
         callers = self.callers[0]
         request = callers.make_request(Sending("", method, path, body), address)
-        return msgspec.json.decode(await read_whole(await self.client.send(request)))
+        return msgspec.json.decode(
+            await read_complete_body(await self.client.send(request))
+        )
 
     async def fail_one_backend_server(self) -> None:
         """Make a backend server fail all real work while its health check passes."""
--- a/examples/demo_traffic.py
+++ b/examples/demo_traffic.py
@@ -13,7 +13,7 @@
 from wagtailstep.models.headers import find_header
 from wagtailstep.models.settings import RequestSettings
 from wagtailstep.models.verdict import Verdict
-from wagtailstep.network.bodies import read_whole
+from wagtailstep.network.bodies import read_complete_body
 from wagtailstep.network.http_client import HttpClient
 from wagtailstep.network.http_connection import HttpRequest
 from wagtailstep.utils.clock import LoopClock
@@ -157,7 +157,7 @@
         address = self.rng.choice(self.backends)
         try:
             answer = await self.client.send(self.make_request(sending, address))
-            await read_whole(answer)
+            await read_complete_body(answer)
         except RequestError:
             return
         if answer.status <= MAX_ANSWERED_STATUS:
@@ -178,7 +178,7 @@
         )
         try:
             answer = await self.client.send(request)
-            ticket = (await read_whole(answer)).decode().split('"')[3]
+            ticket = (await read_complete_body(answer)).decode().split('"')[3]
         except (RequestError, IndexError):
             return
         await self.sign(ticket)
@@ -207,7 +207,7 @@
             request = self.make_request(sending, entry)
             try:
                 answer = await self.client.send(request)
-                body = await read_whole(answer)
+                body = await read_complete_body(answer)
             except TruncatedAnswerError as error:
                 # A broken transfer is a true outcome, but not in a planned change.
                 self.tally.note_cut(entry, error)
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -155,7 +155,7 @@
     def apply(self, effects):
         for effect in effects:
             if isinstance(effect, RequestDecided):
-                self.entry.settle(effect)
+                self.entry.deliver_decision(effect)
             elif isinstance(effect, AppendToLog):
                 self.appends.append(effect)
 
--- a/features/steps/target_answers_steps.py
+++ b/features/steps/target_answers_steps.py
@@ -21,7 +21,7 @@
 from wagtailstep.models.settings import DaemonSettings, RequestSettings
 from wagtailstep.models.verdict import Verdict
 from wagtailstep.network.gate import GateService
-from wagtailstep.network.gate_answers import judge_work
+from wagtailstep.network.gate_answers import assess_work
 from wagtailstep.network.http_client import HttpClient
 from wagtailstep.network.problems import yield_body
 from wagtailstep.utils.clock import LoopClock
@@ -167,7 +167,7 @@
 @then('a request that ended as "{end}" counts as "{work}"')
 def check_work(context, end, work):
     if end.startswith("status"):
-        found = judge_work(None, int(end.split()[1]), True, False)
+        found = assess_work(None, int(end.split()[1]), True, False)
     else:
-        found = judge_work(*ENDS[end])
+        found = assess_work(*ENDS[end])
     assert (found.value if found else "nothing") == work, found
--- a/src/wagtailstep/network/attempts.py
+++ b/src/wagtailstep/network/attempts.py
@@ -15,11 +15,11 @@
 from wagtailstep.models.verdict import Verdict
 from wagtailstep.utils.clock import Clock
 
-SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 MAX_QUEUEING_MS = 86_400_000
 
 
-def read_queueing(answer: Answer) -> timedelta:
+def read_queueing_time(answer: Answer) -> timedelta:
     """Return the time that the gate says the request waited for a slot."""
     value = find_header(answer.headers, headers.QUEUEING_MS) or ""
     try:
@@ -60,11 +60,11 @@
         self.started = self.clock.monotonic()
         self.routing.start_attempt(self.target_id)
 
-    def note_answer(self, answer: Answer) -> None:
+    def record_answer(self, answer: Answer) -> None:
         """Take what the head of an answer tells."""
         self.answered = self.clock.monotonic()
         self.status = answer.status
-        self.queueing = read_queueing(answer)
+        self.queueing = read_queueing_time(answer)
 
     def end(self, verdict: Verdict, blame: Blame) -> None:
         """Count the attempt out and tell its outcome; later calls do nothing."""
@@ -84,13 +84,13 @@
         )
         self.dispatch(outcome)
 
-    def end_answer(self, verdict: Verdict, error: RequestError | None) -> None:
+    def end_with_answer(self, verdict: Verdict, error: RequestError | None) -> None:
         """End the attempt with the end of its answer's body."""
         if error is not None:
             self.end(verdict, error.blame)
         elif verdict is not Verdict.RUN:
             self.end(verdict, Blame.CALLER)
-        elif self.status is not None and self.status >= SERVER_ERROR:
+        elif self.status is not None and self.status >= MIN_SERVER_ERROR_STATUS:
             self.end(verdict, Blame.BACKEND_SERVER)
         else:
             self.end(verdict, Blame.NONE)
--- a/src/wagtailstep/network/bodies.py
+++ b/src/wagtailstep/network/bodies.py
@@ -14,23 +14,25 @@
 OnAnswerEnd = Callable[[Verdict, RequestError | None], None]
 
 
-async def bound_body(source: AsyncIterator[bytes], most: int) -> AsyncIterator[bytes]:
+async def limit_body(
+    source: AsyncIterator[bytes], max_bytes: int
+) -> AsyncIterator[bytes]:
     """Yield a body, but for what goes beyond a limit.
 
-    :param most: its longest size in bytes; 0 for any.
+    :param max_bytes: its longest size in bytes; 0 for any.
     :raises BodyTooLargeError: if it is longer.
     """
     size = 0
     async for chunk in source:
         size += len(chunk)
-        if most and size > most:
-            raise make_size_error(most)
+        if max_bytes and size > max_bytes:
+            raise build_body_size_error(max_bytes)
         yield chunk
 
 
-def make_size_error(most: int) -> BodyTooLargeError:
+def build_body_size_error(max_bytes: int) -> BodyTooLargeError:
     """Return the refusal of a body that is longer than a limit."""
-    return BodyTooLargeError(f"the body is too long; {most} bytes are allowed")
+    return BodyTooLargeError(f"the body is too long; {max_bytes} bytes are allowed")
 
 
 class ReplayableBody:
@@ -43,8 +45,8 @@
     def __init__(self, source: AsyncIterator[bytes], limit: int) -> None:
         self.source = source
         self.limit = limit
-        self.kept: list[bytes] = []
-        self.kept_bytes = 0
+        self.buffered: list[bytes] = []
+        self.buffered_bytes = 0
         self.complete = False
         self.overflowed = False
         self.error: BaseException | None = None
@@ -60,9 +62,9 @@
         :return: the start of the body, at most ``limit`` bytes.
         :raises RequestError: if the caller cut the body.
         """
-        while not self.complete and self.kept_bytes < self.limit:
+        while not self.complete and self.buffered_bytes < self.limit:
             await self.read_chunk()
-        return b"".join(self.kept)[: self.limit]
+        return b"".join(self.buffered)[: self.limit]
 
     async def read_chunk(self) -> bool:
         """Read one chunk and keep it.
@@ -73,8 +75,8 @@
         if chunk is None:
             self.complete = True
             return False
-        self.kept.append(chunk)
-        self.kept_bytes += len(chunk)
+        self.buffered.append(chunk)
+        self.buffered_bytes += len(chunk)
         return True
 
     async def read_source(self) -> bytes | None:
@@ -99,13 +101,13 @@
         """
         position = 0
         while not self.overflowed:
-            if position == len(self.kept) and not await self.read_chunk():
+            if position == len(self.buffered) and not await self.read_chunk():
                 return
-            chunk = self.kept[position]
+            chunk = self.buffered[position]
             position += 1
-            if self.kept_bytes > self.limit and position == len(self.kept):
+            if self.buffered_bytes > self.limit and position == len(self.buffered):
                 self.overflowed = True
-                self.kept.clear()
+                self.buffered.clear()
             yield chunk
         while (chunk := await self.read_source()) is not None:
             yield chunk
@@ -124,7 +126,7 @@
         self.on_end = on_end
         self.ended = False
 
-    def make_answer(self) -> Answer:
+    def build_answer(self) -> Answer:
         """Return the answer with this stream in place of its body."""
         answer = self.answer
         return Answer(
@@ -156,7 +158,7 @@
             self.on_end(verdict, error)
 
 
-async def read_small_body(
+async def read_body_start(
     body: AsyncIterator[bytes], limit: int
 ) -> tuple[list[bytes], bool]:
     """Read a body up to a limit.
@@ -175,7 +177,7 @@
     return chunks, True
 
 
-async def chain_body(
+async def prepend_chunks(
     start: list[bytes], rest: AsyncIterator[bytes]
 ) -> AsyncIterator[bytes]:
     """Yield chunks read before and then the rest of the same body."""
@@ -185,7 +187,7 @@
         yield chunk
 
 
-async def read_whole(answer: Answer) -> bytes:
+async def read_complete_body(answer: Answer) -> bytes:
     """Read an answer to its end and close it, whole or not.
 
     :raises TruncatedAnswerError: if it ends early.
--- a/src/wagtailstep/network/caller_app.py
+++ b/src/wagtailstep/network/caller_app.py
@@ -12,9 +12,9 @@
 from wagtailstep.models.exchange import Answer, IncomingRequest
 from wagtailstep.models.headers import RELAYED, find_header
 from wagtailstep.network.exchange_app import ExchangeApp, Handler
-from wagtailstep.network.problems import describe_error
+from wagtailstep.network.problems import build_error_answer
 
-OWN_PREFIX = b"/.wagtailstep/"
+DAEMON_PATH_PREFIX = b"/.wagtailstep/"
 
 
 @attrs.frozen
@@ -55,22 +55,22 @@
     """
 
     def __init__(self, handle: Handler, endpoints: DaemonEndpoints) -> None:
-        self.exchange = ExchangeApp(handle)
-        self.own = make_own_application(endpoints)
+        self.exchange_app = ExchangeApp(handle)
+        self.daemon_app = create_daemon_application(endpoints)
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         """Serve one request."""
-        if scope["raw_path"].startswith(OWN_PREFIX):
-            await self.own(scope, receive, send)
+        if scope["raw_path"].startswith(DAEMON_PATH_PREFIX):
+            await self.daemon_app(scope, receive, send)
             return
-        await self.exchange(scope, receive, send)
+        await self.exchange_app(scope, receive, send)
 
     def announce_closing(self) -> None:
         """Have every answer from now on close its connection."""
-        self.exchange.announce_closing()
+        self.exchange_app.announce_closing()
 
 
-def make_own_application(endpoints: DaemonEndpoints) -> Application:
+def create_daemon_application(endpoints: DaemonEndpoints) -> Application:
     """Return the BlackSheep application of the daemon's own paths."""
     router = Router()
 
@@ -79,7 +79,7 @@
         try:
             ticket = await endpoints.issue_ticket(service)
         except RequestError as error:
-            return await render_answer(describe_error(error))
+            return await render_answer(build_error_answer(error))
         return render_json(IssuedTicket(ticket), 201)
 
     async def show_status(request: Request) -> Response:
@@ -116,7 +116,7 @@
     return Response(answer.status, headers, content)
 
 
-def choose_handler(gate: Handler, entry: Handler) -> Handler:
+def create_gate_port_handler(gate: Handler, entry: Handler) -> Handler:
     """Return the handler of the gate's port.
 
     :param gate: takes requests for the backend server beside this daemon.
--- a/src/wagtailstep/network/silence.py
+++ b/src/wagtailstep/network/connection_watch.py
@@ -38,7 +38,7 @@
     state: AttemptState
 
 
-class SilenceWatch:
+class ConnectionWatch:
     """Watch one exchange on a kept connection until its head arrives.
 
     :param connection: the connection; broken if it turns out to be silent.
@@ -62,11 +62,11 @@
         self.started_at = self.loop.time()
         self.task: asyncio.Task[None] | None = None
         self.interval = request.silence_after.total_seconds()
-        self.timer = self.loop.call_later(self.interval, self.begin)
+        self.timer = self.loop.call_later(self.interval, self.start_queries)
 
-    def begin(self) -> None:
+    def start_queries(self) -> None:
         """Start to ask; the head has not arrived in time."""
-        self.task = asyncio.create_task(self.ask_repeatedly())
+        self.task = asyncio.create_task(self.query_repeatedly())
 
     def stop(self) -> None:
         """End the watch."""
@@ -74,17 +74,17 @@
         if self.task is not None:
             self.task.cancel()
 
-    async def ask_repeatedly(self) -> None:
+    async def query_repeatedly(self) -> None:
         """Ask until the gate says that the connection lost something."""
         while True:
-            state = await self.ask()
-            error = self.judge(state)
+            state = await self.query_attempt_state()
+            error = self.assess_state(state)
             if error is not None:
                 self.connection.fail(error)
                 return
             await asyncio.sleep(self.interval)
 
-    async def ask(self) -> AttemptState | None:
+    async def query_attempt_state(self) -> AttemptState | None:
         """Return what the gate says, or ``None`` if it can't be asked."""
         inquiry = HttpRequest(
             address=self.connection.address,
@@ -103,7 +103,7 @@
             self.on_unreachable(self.connection.address)
             return None
 
-    def judge(self, state: AttemptState | None) -> ConnectionFailedError | None:
+    def assess_state(self, state: AttemptState | None) -> ConnectionFailedError | None:
         """Return why the connection is given up, or ``None`` if it is not."""
         if state is None or state is AttemptState.HELD:
             return None
--- a/src/wagtailstep/network/daemon.py
+++ b/src/wagtailstep/network/daemon.py
@@ -29,7 +29,7 @@
 from wagtailstep.network.caller_app import (
     CallerApp,
     DaemonEndpoints,
-    choose_handler,
+    create_gate_port_handler,
 )
 from wagtailstep.network.entry import EntryService
 from wagtailstep.network.exchange_app import ExchangeApp
@@ -138,7 +138,7 @@
             dispatch=self.runtime.dispatch,
             apply=self.runtime.apply_all,
         )
-        self.runtime.listeners[RequestDecided] = self.entry.settle
+        self.runtime.listeners[RequestDecided] = self.entry.deliver_decision
         shared = self.entry.sender.retries.shared
         if shared is not None:
             self.metrics.watch_services(
@@ -154,7 +154,9 @@
             list_events=lambda: list(self.runtime.timeline.events),
         )
         caller_app = CallerApp(self.entry.handle, endpoints)
-        gate_app = ExchangeApp(choose_handler(self.gate.handle, self.entry.handle))
+        gate_app = ExchangeApp(
+            create_gate_port_handler(self.gate.handle, self.entry.handle)
+        )
         # Without a router of its own it would share one with all applications.
         self.announce_app = Application(router=Router())
         self.add_announcements(self.announce_app)
@@ -178,7 +180,7 @@
         await self.announce_app.start()
         await self.ready_app.start()
         await self.metrics_app.start()
-        await self.caller_app.own.start()
+        await self.caller_app.daemon_app.start()
         async with asyncio.TaskGroup() as group:
             group.create_task(self.gate_server.start(self.settings.gate_address))
             group.create_task(
--- a/src/wagtailstep/network/daemon_client.py
+++ b/src/wagtailstep/network/daemon_client.py
@@ -9,7 +9,7 @@
 from wagtailstep.models.events import TimelineEvent
 from wagtailstep.models.status import DaemonStatus
 from wagtailstep.models.verdict import Verdict
-from wagtailstep.network.bodies import read_whole
+from wagtailstep.network.bodies import read_complete_body
 from wagtailstep.network.http_client import HttpClient
 from wagtailstep.network.http_connection import HttpRequest
 from wagtailstep.network.problems import yield_body
@@ -57,7 +57,7 @@
             time_left=ASK_TIMEOUT,
         )
         answer = await self.client.send(request)
-        data = await read_whole(answer)
+        data = await read_complete_body(answer)
         try:
             if answer.status == OK:
                 return msgspec.json.decode(data, type=kind)
--- a/src/wagtailstep/network/entry.py
+++ b/src/wagtailstep/network/entry.py
@@ -40,16 +40,16 @@
     AnswerStream,
     OnAnswerEnd,
     ReplayableBody,
-    bound_body,
-    chain_body,
-    read_small_body,
+    limit_body,
+    prepend_chunks,
+    read_body_start,
 )
-from wagtailstep.network.entry_notes import EntryNotes
+from wagtailstep.network.entry_notes import EntryReporter
 from wagtailstep.network.exchanges import Exchange
-from wagtailstep.network.interpret import digest_request
+from wagtailstep.network.interpret import fingerprint_request
 from wagtailstep.network.problems import (
-    describe_error,
-    make_internal_error,
+    build_error_answer,
+    build_internal_error,
     yield_body,
 )
 from wagtailstep.network.request_reader import RequestReader
@@ -72,7 +72,8 @@
     :param relay: passes keyed requests to other entries.
     :param dispatch: gives an event to all controllers and applies their effects.
     :param apply: applies effects that the guard returned; it gives each
-        :class:`~wagtailstep.models.idempotency.RequestDecided` to :meth:`settle`.
+        :class:`~wagtailstep.models.idempotency.RequestDecided` to
+        :meth:`deliver_decision`.
     """
 
     def __init__(
@@ -101,8 +102,8 @@
         self.sender = AttemptSender(
             blackboard, clock, routing, retries, forwarder, dispatch
         )
-        self.notes = EntryNotes(settings, blackboard, clock, dispatch)
-        self.undecided: dict[str, asyncio.Future[Decision]] = {}
+        self.reporter = EntryReporter(settings, blackboard, clock, dispatch)
+        self.pending_decisions: dict[str, asyncio.Future[Decision]] = {}
 
     async def handle(self, incoming: IncomingRequest) -> Answer:
         """Bring one request to its end.
@@ -115,22 +116,22 @@
         started_at = self.clock.monotonic()
         outcome = CALLER_LEFT
         try:
-            request_id = self.reader.find_request_id(incoming) or request_id
+            request_id = self.reader.read_request_id(incoming) or request_id
             request = self.reader.read(incoming, request_id)
-            self.notes.take_request(incoming, request)
+            self.reporter.record_request(incoming, request)
             answer = await self.serve(request, incoming)
             outcome = f"status-{answer.status}"
         except RequestError as error:
             outcome = error.reason
-            self.notes.take_failure(incoming, request_id, error)
-            return describe_error(error, request_id)
+            self.reporter.record_failure(incoming, request_id, error)
+            return build_error_answer(error, request_id)
         except Exception:
             outcome = INTERNAL_ERROR
             _LOGGER.exception("event=request-failed request_id=%s", request_id)
-            return describe_error(make_internal_error(), request_id)
+            return build_error_answer(build_internal_error(), request_id)
         finally:
-            self.notes.take_end(request, outcome, started_at)
-        self.notes.take_answer(incoming, answer.status)
+            self.reporter.record_end(request, outcome, started_at)
+        self.reporter.record_answer(incoming, answer.status)
         answer.headers = replace_headers(
             remove_headers(answer.headers, headers.GATE_ANSWER_HEADERS),
             (headers.VERDICT, answer.verdict.value),
@@ -145,13 +146,13 @@
         """
         return str(self.guard.tickets.issue(service))
 
-    def settle(self, effect: RequestDecided) -> None:
+    def deliver_decision(self, effect: RequestDecided) -> None:
         """Take the decision about a request that waits for one."""
-        future = self.undecided.pop(effect.request_id, None)
+        future = self.pending_decisions.pop(effect.request_id, None)
         if future is not None and not future.done():
             future.set_result(effect.decision)
         else:
-            self.decline(effect.decision)
+            self.release_run(effect.decision)
 
     async def serve(self, request: RequestContext, incoming: IncomingRequest) -> Answer:
         """Admit a request and bring it to its end.
@@ -160,13 +161,13 @@
         """
         limit = self.settings.requests.replay_body_bytes
         # The length that a head announces was checked when it was read.
-        source = bound_body(incoming.body, self.blackboard.table.max_body_bytes)
+        source = limit_body(incoming.body, self.blackboard.table.max_body_bytes)
         body = ReplayableBody(source, limit)
         try:
             self.reader.check_ready()
             self.routing.admit(request)
         except RequestError as error:
-            raise self.limit_claim(request, error) from error
+            raise self.downgrade_unproven_not_run(request, error) from error
         exchange = Exchange(request, incoming, body, self.routing)
         try:
             return await self.serve_admitted(exchange)
@@ -182,7 +183,9 @@
             await self.within_deadline(exchange, exchange.body.prefetch())
         return await self.sender.run(exchange)
 
-    def limit_claim(self, request: RequestContext, error: RequestError) -> RequestError:
+    def downgrade_unproven_not_run(
+        self, request: RequestContext, error: RequestError
+    ) -> RequestError:
         """Take back a ``NOT_RUN`` that is only true of this sending.
 
         An earlier sending under the same key may have run at another daemon.
@@ -206,14 +209,14 @@
         request = exchange.request
         body_start = await self.within_deadline(exchange, exchange.body.prefetch())
         length = find_header(exchange.incoming.headers, "content-length") or ""
-        fingerprint = digest_request(request, body_start, length)
+        fingerprint = fingerprint_request(request, body_start, length)
         outcome = self.guard.begin(request, fingerprint)
         decision = outcome.decision
         if isinstance(decision, Wait):
             decision = await self.wait_for_decision(request, outcome.effects)
         else:
             self.apply(list(outcome.effects))
-        return await self.follow(decision, exchange)
+        return await self.execute_decision(decision, exchange)
 
     async def within_deadline(
         self, exchange: Exchange, reading: Awaitable[bytes]
@@ -232,17 +235,17 @@
                 "again with more time",
                 Verdict.NOT_RUN,
             )
-            raise self.limit_claim(request, error) from None
+            raise self.downgrade_unproven_not_run(request, error) from None
 
     async def wait_for_decision(
         self, request: RequestContext, effects: tuple[Any, ...]
     ) -> Decision:
-        """Wait until :meth:`settle` brings the guard's decision.
+        """Wait until :meth:`deliver_decision` brings the guard's decision.
 
         :raises RequestError: if the deadline passes first.
         """
         future = asyncio.get_running_loop().create_future()
-        self.undecided[request.request_id] = future
+        self.pending_decisions[request.request_id] = future
         self.apply(list(effects))
         decision = None
         try:
@@ -255,62 +258,62 @@
                 "send it again with the same key",
                 Verdict.NOT_RUN,
             )
-            raise self.limit_claim(request, error) from None
+            raise self.downgrade_unproven_not_run(request, error) from None
         finally:
             if decision is None:
-                self.give_up_waiting(request, future)
+                self.cancel_wait(request, future)
 
-    def give_up_waiting(
+    def cancel_wait(
         self, request: RequestContext, future: asyncio.Future[Decision]
     ) -> None:
         """Tell the guard that nobody waits for a decision any more.
 
         The decision may have come in the same step as the cancellation.
         """
-        if self.undecided.pop(request.request_id, None) is not None:
+        if self.pending_decisions.pop(request.request_id, None) is not None:
             self.guard.abandon(request)
         elif future.done() and not future.cancelled():
-            self.decline(future.result())
+            self.release_run(future.result())
 
-    def decline(self, decision: Decision) -> None:
+    def release_run(self, decision: Decision) -> None:
         """Give back the right to run a request that nobody waits for."""
         if isinstance(decision, RunHere):
             self.apply(self.guard.finish(decision.run_id, Verdict.NOT_RUN))
 
     @singledispatchmethod
-    async def follow(self, decision: Decision, exchange: Exchange) -> Answer:
+    async def execute_decision(self, decision: Decision, exchange: Exchange) -> Answer:
         """Do what the guard decided.
 
         :raises RequestError: if no answer can be had.
         """
         raise TypeError(f"not a decision: {decision!r}")
 
-    @follow.register
+    @execute_decision.register
     async def _(self, decision: Refuse, exchange: Exchange) -> Answer:
         raise decision.error
 
-    @follow.register
+    @execute_decision.register
     async def _(self, decision: Replay, exchange: Exchange) -> Answer:
         exchange.release()
         stored = decision.answer
         body = yield_body(stored.body)
         return Answer(stored.status, stored.headers, body, Verdict.RUN)
 
-    @follow.register
+    @execute_decision.register
     async def _(self, decision: PassOn, exchange: Exchange) -> Answer:
         member = self.blackboard.members.get(decision.daemon_id)
         if member is None:
             raise make_unknown_error("the daemon that may run it is gone")
-        answer = await self.pass_on(exchange, member)
-        return self.track(answer, lambda verdict, _: exchange.release())
+        answer = await self.relay_request(exchange, member)
+        return self.track_answer(answer, lambda verdict, _: exchange.release())
 
-    @follow.register
+    @execute_decision.register
     async def _(self, decision: RunHere, exchange: Exchange) -> Answer:
         exchange.on_end = lambda verdict, answer: self.apply(
             self.guard.finish(decision.run_id, verdict, answer)
         )
         try:
-            return await self.keep_answer(await self.sender.run(exchange), exchange)
+            return await self.buffer_answer(await self.sender.run(exchange), exchange)
         except RequestError as error:
             exchange.end(error.verdict)
             raise
@@ -318,7 +321,7 @@
             exchange.end(exchange.verdict_if_cancelled)
             raise
 
-    async def pass_on(self, exchange: Exchange, member: Member) -> Answer:
+    async def relay_request(self, exchange: Exchange, member: Member) -> Answer:
         """Have another daemon serve a keyed request.
 
         It may be sent again: the other daemon recognises the key.
@@ -329,30 +332,32 @@
         while True:
             attempts_left -= 1
             try:
-                return await self.pass_on_once(exchange, member)
+                return await self.relay_once(exchange, member)
             except (RequestError, TimeoutError) as error:
                 if attempts_left == 0 or not exchange.body.replayable:
                     raise make_unknown_error(
                         f"daemon {member.daemon_id} may know, but can't be reached"
                     ) from error
 
-    async def pass_on_once(self, exchange: Exchange, member: Member) -> Answer:
+    async def relay_once(self, exchange: Exchange, member: Member) -> Answer:
         """Send a keyed request to another daemon, within its deadline.
 
         :raises RequestError: if there is no answer.
         :raises TimeoutError: if there is none in time.
         """
         time_left = self.sender.time_left(exchange.request)
-        incoming = self.make_relayed(exchange, time_left)
+        incoming = self.build_relayed_request(exchange, time_left)
         async with asyncio.timeout(time_left.total_seconds()):
             return await self.relay.relay(member, incoming, time_left)
 
-    def make_relayed(self, exchange: Exchange, left: timedelta) -> IncomingRequest:
+    def build_relayed_request(
+        self, exchange: Exchange, time_left: timedelta
+    ) -> IncomingRequest:
         """Return the request as the other daemon's entry gets it."""
-        left_ms = max(1, int(left.total_seconds() * 1_000))
+        time_left_ms = max(1, int(time_left.total_seconds() * 1_000))
         marked = replace_headers(
             exchange.incoming.headers,
-            (headers.TIMEOUT_MS, str(left_ms)),
+            (headers.TIMEOUT_MS, str(time_left_ms)),
             (headers.RELAYED, self.settings.daemon_id),
         )
         incoming = exchange.incoming
@@ -360,26 +365,26 @@
             incoming.method, incoming.path, marked, exchange.body.open()
         )
 
-    async def keep_answer(self, answer: Answer, exchange: Exchange) -> Answer:
+    async def buffer_answer(self, answer: Answer, exchange: Exchange) -> Answer:
         """Read a small answer whole, so that a resend can get it too.
 
         :raises RequestError: if the answer breaks off early.
         """
         limit = self.settings.requests.answer_bytes
         try:
-            chunks, whole = await read_small_body(answer.body, limit)
+            chunks, complete = await read_body_start(answer.body, limit)
         except BaseException:
             await answer.close()
             raise
-        if whole:
+        if complete:
             data = b"".join(chunks)
             stored = StoredAnswer(answer.status, answer.headers, data)
             await answer.close()
             exchange.end(Verdict.RUN, stored)
             return Answer(answer.status, answer.headers, yield_body(data), Verdict.RUN)
-        answer.body = chain_body(chunks, answer.body)
-        return self.track(answer, lambda verdict, _: exchange.end(verdict))
+        answer.body = prepend_chunks(chunks, answer.body)
+        return self.track_answer(answer, lambda verdict, _: exchange.end(verdict))
 
-    def track(self, answer: Answer, on_end: OnAnswerEnd) -> Answer:
+    def track_answer(self, answer: Answer, on_end: OnAnswerEnd) -> Answer:
         """Return the answer with a body whose end is told to ``on_end``."""
-        return AnswerStream(answer, on_end).make_answer()
+        return AnswerStream(answer, on_end).build_answer()
--- a/src/wagtailstep/network/entry_notes.py
+++ b/src/wagtailstep/network/entry_notes.py
@@ -19,7 +19,7 @@
 LOGGER = logging.getLogger(__name__)
 
 
-class EntryNotes:
+class EntryReporter:
     """Tell of requests, and of calls by the backend server beside this daemon.
 
     :param clock: tells how long requests took.
@@ -38,18 +38,20 @@
         self.clock = clock
         self.dispatch = dispatch
 
-    def take_request(self, incoming: IncomingRequest, request: RequestContext) -> None:
+    def record_request(
+        self, incoming: IncomingRequest, request: RequestContext
+    ) -> None:
         """Note a request whose head was read."""
         if is_local(incoming.peer, self.settings):
             self.dispatch(LocalCall(request.service))
 
-    def take_answer(self, incoming: IncomingRequest, status: int) -> None:
+    def record_answer(self, incoming: IncomingRequest, status: int) -> None:
         """Note the answer of a backend server."""
         if status >= FIRST_FAILURE_STATUS and is_local(incoming.peer, self.settings):
             refused = status == HTTPStatus.SERVICE_UNAVAILABLE
             self.dispatch(LocalCallFailed(incoming.path, refused))
 
-    def take_end(
+    def record_end(
         self, request: RequestContext | None, outcome: str, started_at: timedelta
     ) -> None:
         """Note the end of a request.
@@ -62,11 +64,11 @@
         took = self.clock.monotonic() - started_at
         self.dispatch(RequestEnded(service, route, outcome, took))
 
-    def take_failure(
+    def record_failure(
         self, incoming: IncomingRequest, request_id: str, error: RequestError
     ) -> None:
         """Note a request that gets no answer of a backend server."""
-        self.take_answer(incoming, error.status)
+        self.record_answer(incoming, error.status)
         log_event(
             LOGGER,
             "request-unanswered",
--- a/src/wagtailstep/network/exchange_app.py
+++ b/src/wagtailstep/network/exchange_app.py
@@ -22,7 +22,7 @@
 from wagtailstep.models.headers import BLAME, Headers, find_header
 from wagtailstep.network.http_connection import decode_headers, encode_headers
 from wagtailstep.network.http_protocol import CONNECTION_KEY, ServerConnection
-from wagtailstep.network.problems import describe_error, make_internal_error
+from wagtailstep.network.problems import build_error_answer, build_internal_error
 from wagtailstep.utils.logging import log_event
 
 logger = logging.getLogger(__name__)
@@ -50,7 +50,7 @@
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         """Serve one exchange."""
         connection: ServerConnection = scope[CONNECTION_KEY]
-        answer = await self.find_answer(scope, receive)
+        answer = await self.call_handler(scope, receive)
         try:
             await self.send_answer(answer, send)
         except TruncatedAnswerError as error:
@@ -63,7 +63,7 @@
         """Have every answer from now on close its connection."""
         self.closing = True
 
-    async def find_answer(self, scope: Any, receive: Any) -> Answer:
+    async def call_handler(self, scope: Any, receive: Any) -> Answer:
         """Return the handler's answer, or one that describes its failure."""
         try:
             return await self.handle(read_request(scope, receive))
@@ -76,10 +76,10 @@
                 verdict=error.verdict.value,
                 error=str(error),
             )
-            return add_headers(describe_error(error), error)
+            return add_failure_headers(build_error_answer(error), error)
         except Exception:
             logger.exception("event=handler-failed path=%s", scope["path"])
-            return describe_error(make_internal_error())
+            return build_error_answer(build_internal_error())
 
     async def send_answer(self, answer: Answer, send: Any) -> None:
         """Write an answer, chunk by chunk, as fast as the connection takes it."""
@@ -101,7 +101,7 @@
         await send({"type": "http.response.body", "body": b"", "more_body": False})
 
 
-def add_headers(answer: Answer, error: RequestError) -> Answer:
+def add_failure_headers(answer: Answer, error: RequestError) -> Answer:
     """Return the answer with what the failure speaks against.
 
     After a request whose end is in doubt the connection can't be used again.
--- a/src/wagtailstep/network/exchanges.py
+++ b/src/wagtailstep/network/exchanges.py
@@ -31,10 +31,10 @@
     :param sent: attempts that a backend server may have got.
     :param tried: ``target_id`` of targets that were tried.
     :param verdict: verdict of all attempts that have ended.
-    :param waits: how long gates that had no free slot expected it to wait, by
+    :param expected_waits: how long gates that had no free slot expected it to wait, by
         ``target_id``.
     :param last_resort: the doubted target that is tried in place of a refusal.
-    :param sending: whether an attempt is under way.
+    :param attempt_in_progress: whether an attempt is under way.
     :param abandoned: whether the attempt was ended since it took too long.
     :param on_end: called once when a guarded run has ended.
     :param ended: whether the run has ended.
@@ -49,9 +49,9 @@
     sent: int = 0
     tried: set[str] = attrs.field(factory=set)
     verdict: Verdict = Verdict.NOT_RUN
-    waits: dict[str, timedelta] = attrs.field(factory=dict)
+    expected_waits: dict[str, timedelta] = attrs.field(factory=dict)
     last_resort: Target | None = None
-    sending: bool = False
+    attempt_in_progress: bool = False
     abandoned: bool = False
     on_end: OnEnd | None = None
     ended: bool = False
@@ -66,11 +66,11 @@
     @property
     def verdict_if_cancelled(self) -> Verdict:
         """Return the verdict if the request stops now."""
-        if self.sending:
+        if self.attempt_in_progress:
             return worst_verdict(self.verdict, Verdict.MAY_HAVE_RUN)
         return self.verdict
 
-    def make_incoming(self) -> IncomingRequest:
+    def build_incoming(self) -> IncomingRequest:
         """Return the request with its body readable from the start."""
         incoming = self.incoming
         return IncomingRequest(
@@ -84,12 +84,12 @@
 
         :return: the error, its verdict changed if needed.
         """
-        self.sending = False
+        self.attempt_in_progress = False
         if self.body.error is not None and isinstance(error, BadRequestError):
             error.verdict = Verdict.MAY_HAVE_RUN
         return error
 
-    def cover(self, error: RequestError) -> None:
+    def include_earlier_attempts(self, error: RequestError) -> None:
         """Have an error's verdict and status cover the attempts before it, too."""
         promises = error.verdict is Verdict.NOT_RUN
         error.verdict = worst_verdict(error.verdict, self.verdict)
--- a/src/wagtailstep/network/forwarder.py
+++ b/src/wagtailstep/network/forwarder.py
@@ -51,7 +51,7 @@
 from wagtailstep.network.http_connection import HttpRequest
 
 MILLISECOND = timedelta(milliseconds=1)
-GATE_MARGIN = timedelta(milliseconds=20)
+GATE_DEADLINE_MARGIN = timedelta(milliseconds=20)
 MAX_PROBLEM_BYTES = 16_384
 # A body up to this size is sent along; asking first costs a round trip.
 SMALL_BODY_BYTES = 16_384
@@ -94,7 +94,7 @@
         self.client = client
         self.gate = gate
         self.caller_service = caller_service
-        self.attempts = itertools.count(1)
+        self.attempt_serials = itertools.count(1)
 
     async def forward(
         self,
@@ -108,11 +108,11 @@
 
         :raises RequestError: with the verdict; ``NOT_RUN`` only as a fact.
         """
-        attempt_id = f"{request.request_id}.{next(self.attempts)}"
-        headers = make_headers(request, target_id, incoming, time_left)
+        attempt_id = f"{request.request_id}.{next(self.attempt_serials)}"
+        headers = build_gate_headers(request, target_id, incoming, time_left)
         headers += (
             (ATTEMPT_ID, attempt_id),
-            *make_rank_headers(request, self.client.clock.monotonic()),
+            *build_scheduling_headers(request, self.client.clock.monotonic()),
         )
         if self.caller_service:
             headers += ((CALLER_SERVICE, self.caller_service),)
@@ -125,7 +125,7 @@
             address=gate.gate_address,
             method=incoming.method,
             path=request.path,
-            headers=ask_before_body(headers),
+            headers=add_expect_continue(headers),
             body=incoming.body,
             idempotent=request.idempotent,
             time_left=time_left,
@@ -138,10 +138,10 @@
             if error.verdict is not Verdict.NOT_RUN:
                 error.blame = Blame.PATH
             raise
-        return await check_answer(answer, request.request_id)
+        return await validate_answer(answer, request.request_id)
 
 
-def make_rank_headers(request: RequestContext, now: timedelta) -> Headers:
+def build_scheduling_headers(request: RequestContext, now: timedelta) -> Headers:
     """Return the headers that tell the gate how to queue a request.
 
     :param now: monotonic time.
@@ -150,14 +150,14 @@
     if request.priority:
         headers += ((PRIORITY, str(request.priority)),)
     if request.aim_at is not None:
-        left = max(timedelta(), request.aim_at - now)
-        headers += ((AIM_MS, str(left // MILLISECOND)),)
+        time_to_aim = max(timedelta(), request.aim_at - now)
+        headers += ((AIM_MS, str(time_to_aim // MILLISECOND)),)
     if not request.may_wait:
         headers += ((MAY_WAIT, "?0"),)
     return (*headers, (STANDING, str(int(request.chosen_standing))))
 
 
-def make_headers(
+def build_gate_headers(
     request: RequestContext,
     target_id: str,
     incoming: IncomingRequest,
@@ -168,18 +168,18 @@
     The gate is given a little less time, so that its answer on a deadline arrives
     before this daemon gives up.
     """
-    margin = min(GATE_MARGIN, time_left / 10)
-    own_headers = (
+    margin = min(GATE_DEADLINE_MARGIN, time_left / 10)
+    gate_headers = (
         (REQUEST_ID, request.request_id),
         (TARGET, target_id),
         (ROUTE, request.route),
         (IDEMPOTENT, "?1" if request.idempotent else "?0"),
         (TIMEOUT_MS, str(max(0, int((time_left - margin) / MILLISECOND)))),
     )
-    return remove_fleet_headers(pass_on_headers(incoming.headers)) + own_headers
+    return remove_fleet_headers(pass_on_headers(incoming.headers)) + gate_headers
 
 
-def ask_before_body(headers: Headers) -> Headers:
+def add_expect_continue(headers: Headers) -> Headers:
     """Have a large body wait until the gate wants it.
 
     A gate that refuses the request then leaves the body unread, so that it can be
@@ -192,7 +192,7 @@
     return headers
 
 
-async def check_answer(answer: Answer, request_id: str) -> Answer:
+async def validate_answer(answer: Answer, request_id: str) -> Answer:
     """Return the backend server's answer.
 
     :raises RequestError: if the gate refused, or the answer is to another request.
--- a/src/wagtailstep/network/gate.py
+++ b/src/wagtailstep/network/gate.py
@@ -64,19 +64,19 @@
 )
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.models.verdict import Verdict
+from wagtailstep.network.connection_watch import REVOCATION_PATH, AttemptStateAnswer
 from wagtailstep.network.gate_answers import (
+    assess_failure,
+    assess_work,
     blame_backend_server,
-    check_answer,
-    judge_failure,
-    judge_work,
     read_standing,
     read_timeout,
     require_header,
+    validate_answer,
 )
 from wagtailstep.network.http_client import HttpClient
 from wagtailstep.network.http_connection import HttpRequest
 from wagtailstep.network.problems import yield_body
-from wagtailstep.network.silence import REVOCATION_PATH, AttemptStateAnswer
 from wagtailstep.utils.callbacks import do_nothing
 from wagtailstep.utils.clock import Clock
 from wagtailstep.utils.logging import log_event
@@ -85,7 +85,7 @@
 MILLISECOND = timedelta(milliseconds=1)
 # What was queued for an expected wait may wait longer, since giving it up would waste
 # the time that it has waited; a leaving backend server must get no work after 2 s.
-MAX_WAIT = 1.8
+MAX_WAIT_FACTOR = 1.8
 OVERLOAD_STATUSES = frozenset({429, 503})
 
 
@@ -113,8 +113,8 @@
         self.clock = clock
         self.serials = itertools.count(1)
         self.dispatch = dispatch
-        self.waiting: dict[int, asyncio.Future[None]] = {}
-        self.started: dict[int, timedelta] = {}
+        self.waiters: dict[int, asyncio.Future[None]] = {}
+        self.start_times: dict[int, timedelta] = {}
         member = controller.blackboard.this_member
         # A restarted gate knows nothing of what its predecessor took.
         self.gate_id = f"{member.daemon_id}.{member.incarnation}"
@@ -147,26 +147,26 @@
         arrived_at = self.clock.monotonic()
         await self.wait_for_slot(request)
         queueing = self.clock.monotonic() - arrived_at
-        self.started[request.serial] = self.clock.monotonic()
+        self.start_times[request.serial] = self.clock.monotonic()
         self.dispatch(WorkStarted(request.serial, request.target_id, request.route))
         try:
             answer = await self.run(request, incoming)
         except BaseException:
-            self.started.pop(request.serial, None)
+            self.start_times.pop(request.serial, None)
             raise
         finally:
             self.dispatch(WorkStopped(request.serial))
-        own_headers = (
+        daemon_headers = (
             (VERDICT, Verdict.RUN.value),
             (REQUEST_ID, request.request_id),
             (GATE_ID, self.gate_id),
             (QUEUEING_MS, f"{queueing / MILLISECOND:.1f}"),
             (LOAD, f"{self.controller.queues[request.target_id].load:.2f}"),
-            *self.describe_calls(request.route, answer.status),
+            *self.build_call_headers(request.route, answer.status),
         )
-        return attrs.evolve(answer, headers=(*answer.headers, *own_headers))
+        return attrs.evolve(answer, headers=(*answer.headers, *daemon_headers))
 
-    def describe_calls(self, route: str, status: int) -> Headers:
+    def build_call_headers(self, route: str, status: int) -> Headers:
         """Return headers on the calls that a run makes, and whether one was refused."""
         board = self.controller.blackboard
         ratios = board.calls_per_run.get(route, {})
@@ -209,50 +209,52 @@
         :raises RequestError: if it is refused; it was not run.
         """
         future = asyncio.get_running_loop().create_future()
-        self.waiting[request.serial] = future
-        longest = timedelta(milliseconds=self.settings.queue_timeout_ms) * MAX_WAIT
-        longest = min(longest, request.deadline - self.clock.monotonic())
+        self.waiters[request.serial] = future
+        max_wait = (
+            timedelta(milliseconds=self.settings.queue_timeout_ms) * MAX_WAIT_FACTOR
+        )
+        max_wait = min(max_wait, request.deadline - self.clock.monotonic())
         try:
             self.apply_effects(self.controller.handle(GateRequestArrived(request)))
             if future.done():
                 return future.result()
-            async with asyncio.timeout(longest.total_seconds()):
+            async with asyncio.timeout(max_wait.total_seconds()):
                 await future
         except TimeoutError as error:
-            self.abandon(request)
-            raise self.describe_expiry(request) from error
+            self.abandon_request(request)
+            raise self.build_expiry_error(request) from error
         except asyncio.CancelledError:
-            self.abandon(request)
+            self.abandon_request(request)
             raise
         finally:
-            del self.waiting[request.serial]
+            del self.waiters[request.serial]
 
-    def describe_expiry(self, request: GateRequest) -> RequestError:
+    def build_expiry_error(self, request: GateRequest) -> RequestError:
         """Describe why a request left the queue without a slot."""
         if request.deadline <= self.clock.monotonic():
             message = "the deadline passed while the request waited"
             return DeadlineExceededError(message, Verdict.NOT_RUN)
-        longest = timedelta(milliseconds=self.settings.queue_timeout_ms)
-        return OverloadedError(f"no slot of {request.target_id} was free", longest)
+        retry_after = timedelta(milliseconds=self.settings.queue_timeout_ms)
+        return OverloadedError(f"no slot of {request.target_id} was free", retry_after)
 
     async def run(self, request: GateRequest, incoming: IncomingRequest) -> Answer:
         """Send the request to its backend server, once."""
         try:
-            sent = self.make_request(request, incoming)
+            sent = self.build_backend_request(request, incoming)
             answer = await self.client.send(sent)
             if self.settings.caller_request_ids:
-                await check_answer(request, answer)
+                await validate_answer(request, answer)
         except RequestError as error:
             executed = error.verdict is not Verdict.NOT_RUN
-            self.end(request, judge_failure(error), executed)
-            self.tell(request, error)
+            self.release_slot(request, assess_failure(error), executed)
+            self.report_work_result(request, error)
             raise blame_backend_server(error) from error
         except BaseException:
-            self.abandon(request)
+            self.abandon_request(request)
             raise
         return self.track_answer(request, answer)
 
-    def make_request(
+    def build_backend_request(
         self, request: GateRequest, incoming: IncomingRequest
     ) -> HttpRequest:
         """Return the request for the backend server, with the time left to it.
@@ -263,21 +265,21 @@
         if target is None:
             raise NoTargetError(f"{request.target_id} has left")
         time_left = request.deadline - self.clock.monotonic()
-        own_headers = [
+        daemon_headers = [
             (REQUEST_ID, request.request_id),
             (TIMEOUT_MS, str(max(1, int(time_left / MILLISECOND)))),
         ]
         if target.address:
-            own_headers.append((EXPECTED_INSTANCE, target.instance_id))
+            daemon_headers.append((EXPECTED_INSTANCE, target.instance_id))
         caller_service = find_header(incoming.headers, CALLER_SERVICE)
         if caller_service is not None:
-            own_headers.append((CALLER_SERVICE, caller_service))
+            daemon_headers.append((CALLER_SERVICE, caller_service))
         return HttpRequest(
             address=target.dial_address,
             method=incoming.method,
             path=incoming.path,
             headers=remove_fleet_headers(pass_on_headers(incoming.headers))
-            + tuple(own_headers),
+            + tuple(daemon_headers),
             body=incoming.body,
             idempotent=request.idempotent,
             time_left=time_left,
@@ -292,29 +294,29 @@
         body = answer.body
 
         async def close() -> None:
-            whole = body.whole
+            complete = body.whole
             await answer.close()
-            self.end(request, result if whole else RunResult.ABANDONED)
-            self.tell(request, None, answer.status, whole, body.failed)
+            self.release_slot(request, result if complete else RunResult.ABANDONED)
+            self.report_work_result(request, None, answer.status, complete, body.failed)
 
         headers = remove_headers(answer.headers, DAEMON_ANSWER_HEADERS)
         return Answer(answer.status, headers, body, Verdict.RUN, close)
 
-    def tell(
+    def report_work_result(
         self,
         request: GateRequest,
         error: RequestError | None,
         status: int = 0,
-        whole: bool = True,
-        cut: bool = False,
+        complete: bool = True,
+        truncated: bool = False,
     ) -> None:
         """Tell the controllers what the backend server made of a request.
 
-        :param whole: whether the whole answer was read.
-        :param cut: whether the backend server broke the answer off.
+        :param complete: whether the whole answer was read.
+        :param truncated: whether the backend server broke the answer off.
         """
-        work = judge_work(error, status, whole, cut)
-        started_at = self.started.pop(request.serial, None)
+        work = assess_work(error, status, complete, truncated)
+        started_at = self.start_times.pop(request.serial, None)
         if work is None or started_at is None:
             return
         now = self.clock.monotonic()
@@ -340,14 +342,14 @@
             )
         )
 
-    def end(
+    def release_slot(
         self, request: GateRequest, result: RunResult, executed: bool = True
     ) -> None:
         """Free the slot of a request."""
         event = GateRequestEnded(request.serial, result, executed)
         self.apply_effects(self.controller.handle(event))
 
-    def abandon(self, request: GateRequest) -> None:
+    def abandon_request(self, request: GateRequest) -> None:
         """Take a request out of the queue or free its slot."""
         event = GateRequestAbandoned(request.serial)
         self.apply_effects(self.controller.handle(event))
@@ -365,13 +367,13 @@
     @apply.register
     def apply_start(self, effect: StartRequest) -> None:
         """Let a request go on; one that has just gone gives its slot back."""
-        future = self.waiting.get(effect.serial)
+        future = self.waiters.get(effect.serial)
         if future is not None and not future.done():
             future.set_result(None)
 
     @apply.register
     def apply_refusal(self, effect: RefuseRequest) -> None:
         """End a request that waits."""
-        future = self.waiting.get(effect.serial)
+        future = self.waiters.get(effect.serial)
         if future is not None and not future.done():
             future.set_exception(effect.error)
--- a/src/wagtailstep/network/gate_answers.py
+++ b/src/wagtailstep/network/gate_answers.py
@@ -28,10 +28,10 @@
 
 MILLISECOND = timedelta(milliseconds=1)
 # A backend server that turns a request away is full for about as long as one runs.
-NOT_EXECUTED_RETRY = timedelta(milliseconds=300)
+NOT_EXECUTED_RETRY_AFTER = timedelta(milliseconds=300)
 
 
-async def check_answer(request: GateRequest, answer: Answer) -> None:
+async def validate_answer(request: GateRequest, answer: Answer) -> None:
     """Refuse what is no answer to this request, or says that it was not run.
 
     :raises RequestError: with the verdict that the answer allows.
@@ -41,7 +41,7 @@
     if misdirected or find_header(headers, NOT_EXECUTED) is not None:
         await discard_answer(answer)
         message = f"{request.target_id} turned the request away ({answer.status})"
-        error = NotExecutedError(message, NOT_EXECUTED_RETRY)
+        error = NotExecutedError(message, NOT_EXECUTED_RETRY_AFTER)
         if misdirected:
             error.blame = Blame.BACKEND_SERVER
         raise error
@@ -88,8 +88,8 @@
     return TargetStanding(value)
 
 
-def judge_work(
-    error: RequestError | None, status: int, whole: bool, cut: bool
+def assess_work(
+    error: RequestError | None, status: int, complete: bool, truncated: bool
 ) -> WorkResult | None:
     """Say what the end of a request tells of its backend server.
 
@@ -103,16 +103,16 @@
         return WorkResult.LATE
     if error is not None:
         return WorkResult.BROKEN if error.counts_as_sent else WorkResult.UNREACHABLE
-    if cut:
+    if truncated:
         return WorkResult.BROKEN
     if status == HTTPStatus.GATEWAY_TIMEOUT:
         return WorkResult.LATE
     if status >= HTTPStatus.INTERNAL_SERVER_ERROR:
         return WorkResult.FAILED
-    return WorkResult.DONE if whole else None
+    return WorkResult.DONE if complete else None
 
 
-def judge_failure(error: RequestError) -> RunResult:
+def assess_failure(error: RequestError) -> RunResult:
     """Say what a failed exchange tells of the backend server's capacity."""
     if isinstance(error, NotExecutedError):
         return RunResult.REFUSED
--- a/src/wagtailstep/network/http_client.py
+++ b/src/wagtailstep/network/http_client.py
@@ -22,13 +22,13 @@
 from wagtailstep.models.request import Blame
 from wagtailstep.models.settings import RequestSettings
 from wagtailstep.models.verdict import Verdict
+from wagtailstep.network.connection_watch import ConnectionWatch
 from wagtailstep.network.http_connection import (
     HttpConnection,
     HttpRequest,
     decode_headers,
     open_connection,
 )
-from wagtailstep.network.silence import SilenceWatch
 from wagtailstep.utils.callbacks import do_nothing
 from wagtailstep.utils.clock import Clock
 
@@ -153,10 +153,10 @@
 
     def watch(
         self, connection: HttpConnection, request: HttpRequest
-    ) -> SilenceWatch | None:
+    ) -> ConnectionWatch | None:
         """Watch a kept connection to a gate for silence."""
         if connection.gate_id and request.attempt_id:
-            return SilenceWatch(connection, request, self.send, self.on_unreachable)
+            return ConnectionWatch(connection, request, self.send, self.on_unreachable)
         return None
 
     async def acquire(self, request: HttpRequest) -> HttpConnection:
--- a/src/wagtailstep/network/interpret.py
+++ b/src/wagtailstep/network/interpret.py
@@ -36,10 +36,10 @@
     route = read_name(incoming, headers.ROUTE) or default_route(incoming.path)
     by_method = incoming.method in headers.IDEMPOTENT_METHODS
     idempotent = read_boolean(incoming, headers.IDEMPOTENT, by_method)
-    longest = table.routes.get(f"{service}/{route}")
+    table_route = table.routes.get(f"{service}/{route}")
     timeout_ms = read_timeout_ms(incoming, settings.default_timeout_ms)
-    if longest is not None:
-        timeout_ms = min(timeout_ms, longest.timeout_ms)
+    if table_route is not None:
+        timeout_ms = min(timeout_ms, table_route.timeout_ms)
     return RequestContext(
         request_id=request_id,
         service=service,
@@ -111,7 +111,7 @@
     value = find_header(incoming.headers, headers.REQUEST_ID) or ""
     if not 0 < len(value) <= MAX_NAME_LENGTH:
         allowed = f"1 to {MAX_NAME_LENGTH} characters"
-        raise make_header_error(headers.REQUEST_ID, value, allowed)
+        raise build_header_error(headers.REQUEST_ID, value, allowed)
     return value
 
 
@@ -129,7 +129,7 @@
     if required and not value:
         raise BadRequestError(f"header {name} is missing; it names the service")
     if len(value) > MAX_NAME_LENGTH:
-        raise make_header_error(name, value, f"up to {MAX_NAME_LENGTH} characters")
+        raise build_header_error(name, value, f"up to {MAX_NAME_LENGTH} characters")
     return value
 
 
@@ -142,7 +142,7 @@
     if value is None:
         return default
     if value not in _BOOLEANS:
-        raise make_header_error(name, value, "?0 or ?1")
+        raise build_header_error(name, value, "?0 or ?1")
     return _BOOLEANS[value]
 
 
@@ -156,9 +156,9 @@
     if value is None:
         return default_ms
     if not (value.isascii() and value.isdigit() and len(value) <= 8):
-        raise make_header_error(name, value, f"a whole number up to {MAX_TIMEOUT_MS}")
+        raise build_header_error(name, value, f"a whole number up to {MAX_TIMEOUT_MS}")
     if int(value) > MAX_TIMEOUT_MS:
-        raise make_header_error(name, value, f"a whole number up to {MAX_TIMEOUT_MS}")
+        raise build_header_error(name, value, f"a whole number up to {MAX_TIMEOUT_MS}")
     return int(value)
 
 
@@ -173,17 +173,17 @@
         return None
     if len(values) > 1 or not 0 < len(values[0]) <= MAX_KEY_LENGTH:
         allowed = f"one value of 1 to {MAX_KEY_LENGTH} characters"
-        raise make_header_error(name, ", ".join(values), allowed)
+        raise build_header_error(name, ", ".join(values), allowed)
     return values[0]
 
 
-def make_header_error(name: str, value: str, allowed: str) -> BadRequestError:
+def build_header_error(name: str, value: str, allowed: str) -> BadRequestError:
     """Make the error for a wrong header."""
     shown = value[:MAX_NAME_LENGTH]
     return BadRequestError(f"header {name} is {shown!r}; allowed: {allowed}")
 
 
-def digest_request(request: RequestContext, body_start: bytes, length: str) -> str:
+def fingerprint_request(request: RequestContext, body_start: bytes, length: str) -> str:
     """Return a digest that tells requests under the same key apart.
 
     :param body_start: the body as far as it is kept for a resend.
--- a/src/wagtailstep/network/load_player.py
+++ b/src/wagtailstep/network/load_player.py
@@ -14,7 +14,7 @@
 from wagtailstep.models.load_results import ClassResult, SideResult
 from wagtailstep.models.load_settings import LoadClass, LoadSettings
 from wagtailstep.models.settings import RequestSettings
-from wagtailstep.network.bodies import read_whole
+from wagtailstep.network.bodies import read_complete_body
 from wagtailstep.network.http_client import HttpClient
 from wagtailstep.network.http_connection import HttpRequest
 from wagtailstep.utils.callbacks import do_nothing
@@ -133,7 +133,7 @@
         try:
             answer = await self.client.send(make_request(address, kind, time_left))
             status, headers = answer.status, answer.headers
-            await read_whole(answer)
+            await read_complete_body(answer)
         except RequestError:
             return Reply(0)
         return Reply(status, read_seconds(find_header(headers, "retry-after")))
--- a/src/wagtailstep/network/log_client.py
+++ b/src/wagtailstep/network/log_client.py
@@ -15,7 +15,7 @@
 from wagtailstep.models.log import LogBatch, LogRecord, LogService
 from wagtailstep.models.log_wire import AppendReply, ReadReply, StreamReply
 from wagtailstep.models.settings import LogSettings
-from wagtailstep.network.service_calls import HttpReply, ServiceCalls
+from wagtailstep.network.service_client import HttpReply, ServiceClient
 from wagtailstep.utils.clock import LoopClock
 
 _CREATED = 201
@@ -40,7 +40,7 @@
     def __init__(self, settings: LogSettings) -> None:
         self.timeout = timedelta(milliseconds=settings.timeout_ms)
         split_address(settings.address)
-        self.calls = ServiceCalls(
+        self.calls = ServiceClient(
             "the log", settings.address, self.timeout, LoopClock()
         )
 
--- a/src/wagtailstep/network/problems.py
+++ b/src/wagtailstep/network/problems.py
@@ -44,7 +44,7 @@
         yield data
 
 
-def describe_error(error: RequestError, request_id: str = "") -> Answer:
+def build_error_answer(error: RequestError, request_id: str = "") -> Answer:
     """Make the answer for a request that ended without one.
 
     :param error: how the request ended.
@@ -61,13 +61,13 @@
     body = msgspec.json.encode(problem)
     return Answer(
         status=error.status,
-        headers=_make_headers(error, request_id, len(body)),
+        headers=_build_headers(error, request_id, len(body)),
         body=yield_body(body),
         verdict=error.verdict,
     )
 
 
-def _make_headers(error: RequestError, request_id: str, length: int) -> Headers:
+def _build_headers(error: RequestError, request_id: str, length: int) -> Headers:
     made = [
         ("content-type", CONTENT_TYPE),
         ("content-length", str(length)),
@@ -75,7 +75,7 @@
         (headers.REASON, error.reason),
         (headers.REQUEST_ID, request_id),
     ]
-    retry_after = find_retry_after(error)
+    retry_after = choose_retry_after(error)
     if retry_after is not None:
         seconds = max(1, math.ceil(retry_after.total_seconds()))
         made.append((headers.RETRY_AFTER, str(seconds)))
@@ -84,7 +84,7 @@
     return tuple(made)
 
 
-def find_retry_after(error: RequestError) -> timedelta | None:
+def choose_retry_after(error: RequestError) -> timedelta | None:
     """Return when the caller may come back; a refusal always says so."""
     if error.retry_after is not None:
         return error.retry_after
@@ -94,7 +94,7 @@
     return None
 
 
-def make_internal_error() -> RequestError:
+def build_internal_error() -> RequestError:
     """Make the error for a fault of the daemon itself."""
     return RequestError(
         "the daemon failed while it handled the request; its log tells why",
--- a/src/wagtailstep/network/relay.py
+++ b/src/wagtailstep/network/relay.py
@@ -41,7 +41,7 @@
             address=member.gate_address,
             method=incoming.method,
             path=incoming.path,
-            headers=make_headers(incoming.headers, time_left),
+            headers=build_relay_headers(incoming.headers, time_left),
             body=incoming.body,
             idempotent=False,
             time_left=time_left,
@@ -50,7 +50,7 @@
         return attrs.evolve(answer, verdict=read_verdict(answer.headers))
 
 
-def make_headers(headers: Headers, time_left: timedelta) -> Headers:
+def build_relay_headers(headers: Headers, time_left: timedelta) -> Headers:
     """Return the caller's headers with the time that is left."""
     time_left_ms = max(1, int(time_left / MILLISECOND))
     return replace_headers(
--- a/src/wagtailstep/network/request_reader.py
+++ b/src/wagtailstep/network/request_reader.py
@@ -10,7 +10,7 @@
 from wagtailstep.models.headers import find_header, read_number
 from wagtailstep.models.request import RequestContext
 from wagtailstep.models.settings import RequestSettings
-from wagtailstep.network.bodies import make_size_error
+from wagtailstep.network.bodies import build_body_size_error
 from wagtailstep.network.interpret import (
     find_route,
     interpret_request,
@@ -20,15 +20,15 @@
 from wagtailstep.utils.clock import Clock
 
 
-def check_body_length(incoming: IncomingRequest, most: int) -> None:
+def check_body_length(incoming: IncomingRequest, max_bytes: int) -> None:
     """Refuse a request whose body is announced as longer than a limit.
 
-    :param most: longest size in bytes; 0 for any.
+    :param max_bytes: longest size in bytes; 0 for any.
     :raises BodyTooLargeError: if it is longer.
     """
     length = read_number(incoming.headers, "content-length") or 0
-    if most and length > most:
-        raise make_size_error(most)
+    if max_bytes and length > max_bytes:
+        raise build_body_size_error(max_bytes)
 
 
 class RequestReader:
@@ -51,7 +51,7 @@
         self.clock = clock
         self.splitter = RouteSplitter(rng)
 
-    def find_request_id(self, incoming: IncomingRequest) -> str:
+    def read_request_id(self, incoming: IncomingRequest) -> str:
         """Return the caller's name for its request; empty if callers give none.
 
         :raises BadRequestError: if it is missing and has to be there.
--- a/src/wagtailstep/network/sender.py
+++ b/src/wagtailstep/network/sender.py
@@ -35,11 +35,11 @@
 CALLER_LEFT = "caller-left"
 DEADLINE_GRACE_MS = 20
 # With three quarters of the slots taken, three gates of four slots are rarely full.
-GATES_ASKED = 3
-NO_TIME = timedelta()
+GATES_ASKED_BEFORE_QUEUEING = 3
+ZERO_DURATION = timedelta()
 # A ratio above this is a count that has just begun.
-MOST_CALLS_PER_RUN = 20.0
-HURRIED_FACTOR = 4
+MAX_CALLS_PER_RUN = 20.0
+SHORT_DEADLINE_FACTOR = 4
 DISCOVERY_INTERVAL = timedelta(milliseconds=20)
 
 
@@ -83,37 +83,39 @@
         await self.wait_for_discovery(request)
         self.retries.record_first_attempt(request.service)
         while True:
-            target = self.pick(exchange)
+            target = self.select_target(exchange)
             exchange.attempts += 1
             try:
                 answer = await self.attempt(exchange, target)
             except RequestError as error:
                 exchange.sent += error.counts_as_sent
-                exchange.cover(error)
+                exchange.include_earlier_attempts(error)
                 if is_full_gate(error):
-                    exchange.waits[target.target_id] = error.retry_after or NO_TIME
-                if not self.may_go_on(exchange, error):
-                    self.note_end(exchange, error.reason)
+                    exchange.expected_waits[target.target_id] = (
+                        error.retry_after or ZERO_DURATION
+                    )
+                if not self.may_continue(exchange, error):
+                    self.log_end(exchange, error.reason)
                     raise
                 if not is_full_gate(error):
-                    self.note_resend(exchange, target, error.reason)
+                    self.log_resend(exchange, target, error.reason)
                 continue
             exchange.sent += 1
-            self.learn_calls(request.route, answer)
+            self.record_calls(request.route, answer)
             if not self.may_replace(exchange, answer):
-                self.note_end(exchange, f"status-{answer.status}", target)
+                self.log_end(exchange, f"status-{answer.status}", target)
                 return answer
             await discard_answer(answer)
-            self.note_resend(exchange, target, f"status-{answer.status}")
+            self.log_resend(exchange, target, f"status-{answer.status}")
 
-    def may_go_on(self, exchange: Exchange, error: RequestError) -> bool:
+    def may_continue(self, exchange: Exchange, error: RequestError) -> bool:
         """Tell whether another target is tried after an attempt without an answer."""
         if self.may_resend(exchange, error):
             return True
         if not is_full_gate(error):
             return False
         self.refusals.note(exchange.request.service)
-        return self.take_last_resort(exchange)
+        return self.try_select_last_resort(exchange)
 
     def may_resend(self, exchange: Exchange, error: RequestError) -> bool:
         """Tell whether a request is sent again after an attempt without an answer."""
@@ -123,7 +125,7 @@
             exchange.request, error, exchange.attempts, exchange.sent
         )
 
-    def take_last_resort(self, exchange: Exchange) -> bool:
+    def try_select_last_resort(self, exchange: Exchange) -> bool:
         """Tell whether a doubted target is tried in place of a refusal.
 
         A failing server still answers part of its work, which serves more than no
@@ -155,13 +157,13 @@
             return False
         return self.retries.take_replacement(exchange.request, exchange.sent)
 
-    def learn_calls(self, route: str, answer: Answer) -> None:
+    def record_calls(self, route: str, answer: Answer) -> None:
         """Take what the gate says of the calls that a run makes."""
         text = find_header(answer.headers, CALLS)
         if text is not None:
             self.retries.learn_calls(route, read_calls(text))
 
-    def note_end(
+    def log_end(
         self, exchange: Exchange, outcome: str, target: Target | None = None
     ) -> None:
         """Log how the attempts at a request ended, and what they rested on."""
@@ -179,12 +181,12 @@
             tried=",".join(sorted(exchange.tried)),
             attempts=exchange.attempts,
             sent=exchange.sent,
-            gates_full=len(exchange.waits),
+            gates_full=len(exchange.expected_waits),
             left_ms=self.time_left(request) // timedelta(milliseconds=1),
             table_version=self.blackboard.table.version,
         )
 
-    def note_resend(self, exchange: Exchange, target: Target, reason: str) -> None:
+    def log_resend(self, exchange: Exchange, target: Target, reason: str) -> None:
         """Log that a request goes to one more target."""
         log_event(
             LOGGER,
@@ -197,7 +199,7 @@
             sent=exchange.sent,
         )
 
-    def pick(self, exchange: Exchange) -> Target:
+    def select_target(self, exchange: Exchange) -> Target:
         """Pick the target of the next attempt.
 
         :raises RequestError: if there is no target or no time; its verdict covers
@@ -213,25 +215,25 @@
             resort = exchange.last_resort
             if resort is not None and resort.target_id not in exchange.tried:
                 return resort
-            if len(exchange.waits) >= GATES_ASKED:
-                return self.pick_shortest(exchange)
+            if len(exchange.expected_waits) >= GATES_ASKED_BEFORE_QUEUEING:
+                return self.select_shortest_wait(exchange)
             may_probe = functools.partial(self.retries.may_fail_once, request)
             return self.routing.pick(request.service, exchange.tried, may_probe)
         except RequestError as error:
-            exchange.cover(error)
-            self.note_end(exchange, error.reason)
+            exchange.include_earlier_attempts(error)
+            self.log_end(exchange, error.reason)
             raise
 
-    def pick_shortest(self, exchange: Exchange) -> Target:
+    def select_shortest_wait(self, exchange: Exchange) -> Target:
         """Pick the gate that expected the shortest wait of those that were asked.
 
         :raises NoTargetError: if all of them have left since.
         """
         targets = self.blackboard.targets
-        known = [name for name in exchange.waits if name in targets]
+        known = [name for name in exchange.expected_waits if name in targets]
         if not known:
             return self.routing.pick(exchange.request.service, exchange.tried)
-        return targets[min(known, key=exchange.waits.__getitem__)]
+        return targets[min(known, key=exchange.expected_waits.__getitem__)]
 
     def may_wait(self, exchange: Exchange, target: Target) -> bool:
         """Tell whether a request joins the queue of a gate.
@@ -239,9 +241,9 @@
         Before it does, a few gates are asked for a free slot, which one of them has
         unless nearly all are taken.
         """
-        if self.retries.shared is None or target.target_id in exchange.waits:
+        if self.retries.shared is None or target.target_id in exchange.expected_waits:
             return True
-        return len(exchange.waits) >= GATES_ASKED
+        return len(exchange.expected_waits) >= GATES_ASKED_BEFORE_QUEUEING
 
     async def wait_for_discovery(self, request: RequestContext) -> None:
         """Give the targets of a service that is new here a moment to get known."""
@@ -268,17 +270,17 @@
         try:
             answer = await self.forward(exchange, target, request)
         except RequestError as error:
-            attempt.end(error.verdict, self.find_blame(error, attempt))
+            attempt.end(error.verdict, self.determine_blame(error, attempt))
             raise
         except BaseException:
             attempt.end(Verdict.MAY_HAVE_RUN, Blame.CALLER)
-            self.note_end(exchange, CALLER_LEFT)
+            self.log_end(exchange, CALLER_LEFT)
             raise
-        attempt.note_answer(answer)
+        attempt.record_answer(answer)
         exchange.verdict = Verdict.MAY_HAVE_RUN
-        return self.track(answer, attempt, exchange)
+        return self.track_answer(answer, attempt, exchange)
 
-    def find_blame(self, error: RequestError, attempt: Attempt) -> Blame:
+    def determine_blame(self, error: RequestError, attempt: Attempt) -> Blame:
         """Return what the failure of an attempt speaks against.
 
         A deadline that a target in good standing would often miss as well is the
@@ -291,8 +293,8 @@
         if health is None or health.latency is None:
             return error.blame
         waited = self.clock.monotonic() - attempt.started
-        hurried = waited < HURRIED_FACTOR * health.latency
-        return Blame.CALLER if hurried else error.blame
+        is_short = waited < SHORT_DEADLINE_FACTOR * health.latency
+        return Blame.CALLER if is_short else error.blame
 
     async def forward(
         self, exchange: Exchange, target: Target, request: RequestContext
@@ -304,17 +306,17 @@
         gate = self.blackboard.members[target.daemon_id]
         time_left = self.time_left(exchange.request)
         grace = timedelta(milliseconds=DEADLINE_GRACE_MS)
-        exchange.sending = True
+        exchange.attempt_in_progress = True
         exchange.abandoned = False
         timer: asyncio.TimerHandle | None = None
         try:
-            async with asyncio.timeout((time_left + grace).total_seconds()) as limit:
-                timer = self.start_patience(exchange, target, time_left, limit)
+            async with asyncio.timeout((time_left + grace).total_seconds()) as timeout:
+                timer = self.start_attempt_timeout(exchange, target, time_left, timeout)
                 answer = await self.forwarder.forward(
                     request,
                     gate,
                     target.target_id,
-                    exchange.make_incoming(),
+                    exchange.build_incoming(),
                     time_left,
                 )
         except TimeoutError:
@@ -331,26 +333,30 @@
         finally:
             if timer is not None:
                 timer.cancel()
-        exchange.sending = False
+        exchange.attempt_in_progress = False
         return answer
 
-    def start_patience(
+    def start_attempt_timeout(
         self,
         exchange: Exchange,
         target: Target,
         time_left: timedelta,
-        limit: asyncio.Timeout,
+        timeout: asyncio.Timeout,
     ) -> asyncio.TimerHandle | None:
         """Have an attempt that takes too long ended before its deadline."""
         health = self.blackboard.health.get(target.target_id)
-        usual = health.latency if health is not None else None
-        patience = find_patience(exchange.request, time_left, usual)
+        expected_latency = health.latency if health is not None else None
+        patience = find_patience(exchange.request, time_left, expected_latency)
         if patience is None:
             return None
         loop = asyncio.get_running_loop()
-        return loop.call_later(patience.total_seconds(), self.abandon, exchange, limit)
+        return loop.call_later(
+            patience.total_seconds(), self.abandon_slow_attempt, exchange, timeout
+        )
 
-    def abandon(self, exchange: Exchange, limit: asyncio.Timeout) -> None:
+    def abandon_slow_attempt(
+        self, exchange: Exchange, timeout: asyncio.Timeout
+    ) -> None:
         """End an attempt that takes too long, if another one may be made.
 
         What runs is finished while the daemon shuts down or slots are short: the next
@@ -364,17 +370,19 @@
             exchange.request, exchange.sent + 1
         ):
             exchange.abandoned = True
-            limit.reschedule(asyncio.get_running_loop().time())
+            timeout.reschedule(asyncio.get_running_loop().time())
 
-    def track(self, answer: Answer, attempt: Attempt, exchange: Exchange) -> Answer:
+    def track_answer(
+        self, answer: Answer, attempt: Attempt, exchange: Exchange
+    ) -> Answer:
         """Return the answer with a body whose end ends the attempt."""
 
         def end(verdict: Verdict, error: RequestError | None) -> None:
-            attempt.end_answer(verdict, error)
+            attempt.end_with_answer(verdict, error)
             if exchange.on_end is None:
                 exchange.release()
 
-        return AnswerStream(answer, end).make_answer()
+        return AnswerStream(answer, end).build_answer()
 
 
 def is_full_gate(error: RequestError) -> bool:
@@ -388,7 +396,7 @@
     for entry in text.split(","):
         name, _, ratio = entry.partition("=")
         try:
-            calls[name] = min(float(ratio), MOST_CALLS_PER_RUN)
+            calls[name] = min(float(ratio), MAX_CALLS_PER_RUN)
         except ValueError:
             LOGGER.warning("event=calls-unreadable text=%r", entry)
     return calls
--- a/src/wagtailstep/network/service_calls.py
+++ b/src/wagtailstep/network/service_client.py
@@ -13,7 +13,7 @@
 )
 from wagtailstep.models.settings import RequestSettings
 from wagtailstep.models.verdict import Verdict
-from wagtailstep.network.bodies import read_whole
+from wagtailstep.network.bodies import read_complete_body
 from wagtailstep.network.http_client import HttpClient
 from wagtailstep.network.http_connection import HttpRequest
 from wagtailstep.network.problems import yield_body
@@ -21,7 +21,7 @@
 from wagtailstep.utils.clock import Clock
 
 # Shorter than servers commonly keep an idle connection, so that few calls fail.
-IDLE_LIMIT_MS = 2_000
+MAX_IDLE_MS = 2_000
 
 
 @attrs.frozen
@@ -36,7 +36,7 @@
     body: bytes
 
 
-class ServiceCalls:
+class ServiceClient:
     """Call one service over a pool of connections.
 
     :param name: what errors call the service.
@@ -51,7 +51,7 @@
         self.name = name
         self.address = address
         settings = RequestSettings(
-            connection_idle_ms=IDLE_LIMIT_MS,
+            connection_idle_ms=MAX_IDLE_MS,
             connect_timeout_ms=connect_timeout // timedelta(milliseconds=1),
         )
         self.client = HttpClient(settings, clock)
@@ -80,7 +80,7 @@
         )
         try:
             answer = await self.client.send(request)
-            reply = HttpReply(answer.status, await read_whole(answer))
+            reply = HttpReply(answer.status, await read_complete_body(answer))
         except RequestError as error:
             self.on_end(error.reason)
             raise
@@ -106,14 +106,14 @@
         try:
             return await self.call("POST", path, body, timeout)
         except RequestError as error:
-            raise describe_append_failure(error) from error
+            raise build_append_error(error) from error
 
     def close(self) -> None:
         """Close the kept connections."""
         self.client.close()
 
 
-def describe_append_failure(error: RequestError) -> LogError:
+def build_append_error(error: RequestError) -> LogError:
     """Say what a failed request means for an append."""
     if error.verdict is Verdict.NOT_RUN:
         return LogUnavailableError(f"{error}; the append was not sent")
--- a/src/wagtailstep/platform/store.py
+++ b/src/wagtailstep/platform/store.py
@@ -16,7 +16,7 @@
     RecordExpiredError,
 )
 from wagtailstep.models.keyed_store import Collection, KeyedRecords
-from wagtailstep.network.service_calls import HttpReply, ServiceCalls
+from wagtailstep.network.service_client import HttpReply, ServiceClient
 from wagtailstep.platform.settings import StoreSettings
 from wagtailstep.utils.clock import Clock
 
@@ -78,7 +78,7 @@
 
     def __init__(self, settings: StoreSettings, clock: Clock) -> None:
         self.timeout = settings.timeout_ms * MILLISECOND
-        self.calls = ServiceCalls("the store", settings.address, self.timeout, clock)
+        self.calls = ServiceClient("the store", settings.address, self.timeout, clock)
 
     async def read_newest(self, collection: Collection) -> KeyedRecords:
         """Read all records, page by page."""
