--- a/features/steps/asking_gates_steps.py
+++ b/features/steps/asking_gates_steps.py
@@ -492,7 +492,7 @@
     context.limit = FakeLimit()
 
     async def main():
-        world.sender.abandon_slow_attempt(exchange, context.limit)
+        world.sender.abandon_attempt(exchange, context.limit)
 
     asyncio.run(main())
 
--- a/src/wagtailstep/network/entry.py
+++ b/src/wagtailstep/network/entry.py
@@ -305,7 +305,7 @@
         if member is None:
             raise make_unknown_error("the daemon that may run it is gone")
         answer = await self.relay_request(exchange, member)
-        return self.track_answer(answer, lambda verdict, _: exchange.release())
+        return self.track_end(answer, lambda verdict, _: exchange.release())
 
     @execute_decision.register
     async def _(self, decision: RunHere, exchange: Exchange) -> Answer:
@@ -383,8 +383,8 @@
             exchange.end(Verdict.RUN, stored)
             return Answer(answer.status, answer.headers, yield_body(data), Verdict.RUN)
         answer.body = prepend_chunks(chunks, answer.body)
-        return self.track_answer(answer, lambda verdict, _: exchange.end(verdict))
+        return self.track_end(answer, lambda verdict, _: exchange.end(verdict))
 
-    def track_answer(self, answer: Answer, on_end: OnAnswerEnd) -> Answer:
+    def track_end(self, answer: Answer, on_end: OnAnswerEnd) -> Answer:
         """Return the answer with a body whose end is told to ``on_end``."""
         return AnswerStream(answer, on_end).build_answer()
--- a/src/wagtailstep/network/sender.py
+++ b/src/wagtailstep/network/sender.py
@@ -36,7 +36,7 @@
 DEADLINE_GRACE_MS = 20
 # With three quarters of the slots taken, three gates of four slots are rarely full.
 GATES_ASKED_BEFORE_QUEUEING = 3
-ZERO_DURATION = timedelta()
+ZERO = timedelta()
 # A ratio above this is a count that has just begun.
 MAX_CALLS_PER_RUN = 20.0
 SHORT_DEADLINE_FACTOR = 4
@@ -92,7 +92,7 @@
                 exchange.include_earlier_attempts(error)
                 if is_full_gate(error):
                     exchange.expected_waits[target.target_id] = (
-                        error.retry_after or ZERO_DURATION
+                        error.retry_after or ZERO
                     )
                 if not self.may_continue(exchange, error):
                     self.log_end(exchange, error.reason)
@@ -278,7 +278,7 @@
             raise
         attempt.record_answer(answer)
         exchange.verdict = Verdict.MAY_HAVE_RUN
-        return self.track_answer(answer, attempt, exchange)
+        return self.track_end(answer, attempt, exchange)
 
     def determine_blame(self, error: RequestError, attempt: Attempt) -> Blame:
         """Return what the failure of an attempt speaks against.
@@ -346,17 +346,15 @@
         """Have an attempt that takes too long ended before its deadline."""
         health = self.blackboard.health.get(target.target_id)
         expected_latency = health.latency if health is not None else None
-        patience = find_patience(exchange.request, time_left, expected_latency)
-        if patience is None:
+        attempt_timeout = find_patience(exchange.request, time_left, expected_latency)
+        if attempt_timeout is None:
             return None
         loop = asyncio.get_running_loop()
         return loop.call_later(
-            patience.total_seconds(), self.abandon_slow_attempt, exchange, timeout
+            attempt_timeout.total_seconds(), self.abandon_attempt, exchange, timeout
         )
 
-    def abandon_slow_attempt(
-        self, exchange: Exchange, timeout: asyncio.Timeout
-    ) -> None:
+    def abandon_attempt(self, exchange: Exchange, timeout: asyncio.Timeout) -> None:
         """End an attempt that takes too long, if another one may be made.
 
         What runs is finished while the daemon shuts down or slots are short: the next
@@ -372,9 +370,7 @@
             exchange.abandoned = True
             timeout.reschedule(asyncio.get_running_loop().time())
 
-    def track_answer(
-        self, answer: Answer, attempt: Attempt, exchange: Exchange
-    ) -> Answer:
+    def track_end(self, answer: Answer, attempt: Attempt, exchange: Exchange) -> Answer:
         """Return the answer with a body whose end ends the attempt."""
 
         def end(verdict: Verdict, error: RequestError | None) -> None:
