--- a/src/wagtailstep/network/attempts.py
+++ b/src/wagtailstep/network/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt at a request: its counts, its outcome and its verdict."""
+"""One attempt at a request: in-flight accounting, outcome and verdict."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -20,7 +20,10 @@
 
 
 def read_queueing_time(answer: Answer) -> timedelta:
-    """Return the time that the gate says the request waited for a slot."""
+    """Return how long the request waited for a slot, as reported by the gate.
+
+    A missing or malformed header counts as no wait.
+    """
     value = find_header(answer.headers, headers.QUEUEING_MS) or ""
     try:
         return timedelta(milliseconds=min(float(value), MAX_QUEUEING_MS))
@@ -30,18 +33,18 @@
 
 @attrs.define
 class Attempt:
-    """One attempt, counted in flight from its start until its one end.
+    """One attempt, counted as in flight from :meth:`start` to the first :meth:`end`.
 
     :param request: the request.
-    :param target_id: the target that is tried.
-    :param routing: keeps the in-flight counts.
-    :param dispatch: gives events to the controllers.
-    :param clock: tells the latency.
-    :param started: monotonic time when it began.
-    :param answered: monotonic time when the head of the answer came, if it did.
-    :param status: HTTP status of the answer, if there was one.
-    :param queueing: time spent waiting for a slot at the gate.
-    :param ended: whether the outcome has been told.
+    :param target_id: the target that the attempt is sent to.
+    :param routing: keeps the number of requests in flight per target.
+    :param dispatch: passes the outcome to the controllers.
+    :param clock: measures the latency.
+    :param started: monotonic time at which the attempt began.
+    :param answered: monotonic time at which the response head arrived, or ``None``.
+    :param status: HTTP status of the response, or ``None`` without a response.
+    :param queueing: time that the request waited for a slot at the gate.
+    :param ended: whether the outcome has been dispatched.
     """
 
     request: RequestContext
@@ -56,18 +59,18 @@
     ended: bool = False
 
     def start(self) -> None:
-        """Count the attempt in."""
+        """Count the attempt as in flight and start to measure its latency."""
         self.started = self.clock.monotonic()
         self.routing.start_attempt(self.target_id)
 
     def record_answer(self, answer: Answer) -> None:
-        """Take what the head of an answer tells."""
+        """Record the status and queueing time from the head of a response."""
         self.answered = self.clock.monotonic()
         self.status = answer.status
         self.queueing = read_queueing_time(answer)
 
     def end(self, verdict: Verdict, blame: Blame) -> None:
-        """Count the attempt out and tell its outcome; later calls do nothing."""
+        """Uncount the attempt and dispatch its outcome; later calls do nothing."""
         if self.ended:
             return
         self.ended = True
@@ -85,7 +88,11 @@
         self.dispatch(outcome)
 
     def end_with_answer(self, verdict: Verdict, error: RequestError | None) -> None:
-        """End the attempt with the end of its answer's body."""
+        """End the attempt when the body of its response has ended.
+
+        :param error: why the body ended early, or ``None``; without an error, a
+            verdict other than ``RUN`` means that the caller stopped reading.
+        """
         if error is not None:
             self.end(verdict, error.blame)
         elif verdict is not Verdict.RUN:
--- a/src/wagtailstep/network/bodies.py
+++ b/src/wagtailstep/network/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies on their way through the entry."""
+"""Streaming, buffering and size limits of request and response bodies."""
 
 from collections.abc import AsyncIterator, Callable
 
@@ -17,10 +17,10 @@
 async def limit_body(
     source: AsyncIterator[bytes], max_bytes: int
 ) -> AsyncIterator[bytes]:
-    """Yield a body, but for what goes beyond a limit.
+    """Yield the chunks of a body and fail as soon as it exceeds a limit.
 
-    :param max_bytes: its longest size in bytes; 0 for any.
-    :raises BodyTooLargeError: if it is longer.
+    :param max_bytes: the limit; 0 for none.
+    :raises BodyTooLargeError: if the body is longer.
     """
     size = 0
     async for chunk in source:
@@ -31,15 +31,17 @@
 
 
 def build_body_size_error(max_bytes: int) -> BodyTooLargeError:
-    """Return the refusal of a body that is longer than a limit."""
-    return BodyTooLargeError(f"the body is too long; {max_bytes} bytes are allowed")
+    """Return the error for a request body that exceeds the limit."""
+    return BodyTooLargeError(
+        f"request body too large; at most {max_bytes} bytes are allowed"
+    )
 
 
 class ReplayableBody:
-    """A request body whose start is kept, so that a small one can be sent again.
+    """A request body that is buffered up to a limit, so that it can be sent again.
 
-    :param source: the chunks as they come from the caller.
-    :param limit: size in bytes up to which the body is kept.
+    :param source: the chunks as they arrive from the caller.
+    :param limit: size in bytes up to which the body is buffered.
     """
 
     def __init__(self, source: AsyncIterator[bytes], limit: int) -> None:
@@ -53,23 +55,23 @@
 
     @property
     def replayable(self) -> bool:
-        """Return whether the body can be read from its start once more."""
+        """Return whether the body can be read from its start again."""
         return not self.overflowed and self.error is None
 
     async def prefetch(self) -> bytes:
-        """Read ahead to the limit or to the end.
+        """Buffer the body up to the limit or its end.
 
         :return: the start of the body, at most ``limit`` bytes.
-        :raises RequestError: if the caller cut the body.
+        :raises RequestError: if the caller aborted the body.
         """
         while not self.complete and self.buffered_bytes < self.limit:
             await self.read_chunk()
         return b"".join(self.buffered)[: self.limit]
 
     async def read_chunk(self) -> bool:
-        """Read one chunk and keep it.
+        """Read one chunk and buffer it.
 
-        :return: whether there was one more.
+        :return: whether there was another chunk.
         """
         chunk = await self.read_source()
         if chunk is None:
@@ -82,12 +84,14 @@
     async def read_source(self) -> bytes | None:
         """Return the next chunk from the caller, or ``None`` at the end.
 
-        :raises RequestError: if the caller cut the body, or if an earlier read
-            was cancelled: what followed then is lost, which must not look like
-            the end of the body.
+        :raises RequestError: if the caller aborted the body, or if an earlier read
+            was cancelled. The chunk of a cancelled read is lost, so reading on could
+            make an incomplete body look complete.
         """
         if self.error is not None:
-            raise BadRequestError("the request body was not read to its end")
+            raise BadRequestError(
+                "request body incomplete: an earlier read of it failed or was cancelled"
+            )
         try:
             return await anext(self.source, None)
         except BaseException as error:
@@ -97,7 +101,8 @@
     async def open(self) -> AsyncIterator[bytes]:
         """Yield the body from its start.
 
-        Once more than ``limit`` bytes have gone out nothing is kept any longer.
+        Once more than ``limit`` bytes have been yielded, the buffer is dropped and
+        the body can't be replayed any more.
         """
         position = 0
         while not self.overflowed:
@@ -114,10 +119,10 @@
 
 
 class AnswerStream:
-    """Passes on the body of an answer and tells once how it ended.
+    """Forward the body of a response and report once how it ended.
 
-    :param answer: the answer, unread.
-    :param on_end: called once with ``RUN`` after the whole body, else with
+    :param answer: the response with its body unread.
+    :param on_end: called once: with ``RUN`` after the complete body, otherwise with
         ``MAY_HAVE_RUN`` and the error, or ``None`` if the reader stopped early.
     """
 
@@ -127,7 +132,7 @@
         self.ended = False
 
     def build_answer(self) -> Answer:
-        """Return the answer with this stream in place of its body."""
+        """Return the response with this stream in place of its body."""
         answer = self.answer
         return Answer(
             answer.status, answer.headers, self.read(), answer.verdict, self.close
@@ -136,7 +141,7 @@
     async def read(self) -> AsyncIterator[bytes]:
         """Yield the chunks of the body.
 
-        :raises RequestError: if the answer broke off.
+        :raises RequestError: if the response was truncated.
         """
         try:
             async for chunk in self.answer.body:
@@ -147,12 +152,12 @@
         self.end(Verdict.RUN)
 
     async def close(self) -> None:
-        """Release the connection; an unfinished answer ends as cut."""
+        """Release the connection; report a body not read to its end as incomplete."""
         self.end(Verdict.MAY_HAVE_RUN)
         await self.answer.close()
 
     def end(self, verdict: Verdict, error: RequestError | None = None) -> None:
-        """Tell how the answer ended, unless it has been told."""
+        """Report how the response ended; later calls do nothing."""
         if not self.ended:
             self.ended = True
             self.on_end(verdict, error)
@@ -161,11 +166,11 @@
 async def read_body_start(
     body: AsyncIterator[bytes], limit: int
 ) -> tuple[list[bytes], bool]:
-    """Read a body up to a limit.
+    """Read a body until it ends or exceeds a limit.
 
-    :param limit: size in bytes at which to stop.
-    :return: the chunks read and whether they are the whole body.
-    :raises RequestError: if the body broke off.
+    :param limit: size in bytes above which reading stops.
+    :return: the chunks read, and whether they are the complete body.
+    :raises RequestError: if the body was truncated.
     """
     chunks: list[bytes] = []
     size = 0
@@ -180,7 +185,7 @@
 async def prepend_chunks(
     start: list[bytes], rest: AsyncIterator[bytes]
 ) -> AsyncIterator[bytes]:
-    """Yield chunks read before and then the rest of the same body."""
+    """Yield chunks that were already read, then the rest of the same body."""
     for chunk in start:
         yield chunk
     async for chunk in rest:
@@ -188,9 +193,9 @@
 
 
 async def read_complete_body(answer: Answer) -> bytes:
-    """Read an answer to its end and close it, whole or not.
+    """Return the complete body of a response; close the response in any case.
 
-    :raises TruncatedAnswerError: if it ends early.
+    :raises TruncatedAnswerError: if the body ends early.
     """
     try:
         return b"".join([chunk async for chunk in answer.body])
@@ -199,12 +204,12 @@
 
 
 async def discard_answer(answer: Answer) -> None:
-    """Read an answer that nobody wants, so that its connection can be used again."""
+    """Read and drop a response, so that its connection can be reused."""
     try:
         async for _ in answer.body:
             pass
     except TruncatedAnswerError:
-        # What the head said holds; the connection is closed already.
+        # The head is all that counts here, and the connection is already closed.
         pass
     finally:
         await answer.close()
--- a/src/wagtailstep/network/caller_app.py
+++ b/src/wagtailstep/network/caller_app.py
@@ -1,4 +1,4 @@
-"""What callers and operators reach over HTTP at one daemon."""
+"""HTTP applications of a daemon's ports: proxied requests and own endpoints."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -19,13 +19,13 @@
 
 @attrs.frozen
 class DaemonEndpoints:
-    """What the daemon answers itself.
+    """Handlers of the daemon's own endpoints.
 
     :param issue_ticket: returns a new ticket for a service, or raises
         :class:`wagtailstep.exceptions.RequestError`.
-    :param describe_status: returns what ``GET /.wagtailstep/status`` shows.
-    :param describe_metrics: returns what ``GET /.wagtailstep/metrics`` shows.
-    :param list_events: returns what ``GET /.wagtailstep/events`` shows.
+    :param describe_status: returns the JSON content of ``GET /.wagtailstep/status``.
+    :param describe_metrics: returns that of ``GET /.wagtailstep/metrics``.
+    :param list_events: returns that of ``GET /.wagtailstep/events``.
     """
 
     issue_ticket: Callable[[str], Awaitable[str]]
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class IssuedTicket:
-    """Answer to a request for a ticket.
+    """Response body of ``POST /.wagtailstep/tickets/{service}``.
 
     :param ticket: value for the ``Idempotency-Key`` header.
     """
@@ -45,13 +45,13 @@
 
 
 class CallerApp:
-    """ASGI application of the caller's port.
+    """ASGI application of the port for callers.
 
-    Paths under ``/.wagtailstep/`` are the daemon's own and go through BlackSheep;
-    all others are requests for a service.
+    Paths under ``/.wagtailstep/`` are the daemon's own endpoints and are served by
+    BlackSheep; all other requests are proxied to a service.
 
-    :param handle: the entry.
-    :param endpoints: what the daemon answers itself.
+    :param handle: handles requests for services, as the entry does.
+    :param endpoints: handlers of the daemon's own endpoints.
     """
 
     def __init__(self, handle: Handler, endpoints: DaemonEndpoints) -> None:
@@ -66,12 +66,12 @@
         await self.exchange_app(scope, receive, send)
 
     def announce_closing(self) -> None:
-        """Have every answer from now on close its connection."""
+        """Send ``Connection: close`` with every response from now on."""
         self.exchange_app.announce_closing()
 
 
 def create_daemon_application(endpoints: DaemonEndpoints) -> Application:
-    """Return the BlackSheep application of the daemon's own paths."""
+    """Return the BlackSheep application of the daemon's own endpoints."""
     router = Router()
 
     async def issue_ticket(request: Request) -> Response:
@@ -99,13 +99,13 @@
 
 
 def render_json(value: Any, status: int = 200) -> Response:
-    """Return an answer with a JSON body."""
+    """Return a JSON response that must not be cached."""
     content = Content(b"application/json", msgspec.json.encode(value))
     return Response(status, [(b"cache-control", b"no-store")], content)
 
 
 async def render_answer(answer: Answer) -> Response:
-    """Return a small answer of this package as one of BlackSheep's."""
+    """Convert a problem document into a BlackSheep response."""
     body = b"".join([chunk async for chunk in answer.body])
     headers = [
         (name.encode(), value.encode())
@@ -117,11 +117,11 @@
 
 
 def create_gate_port_handler(gate: Handler, entry: Handler) -> Handler:
-    """Return the handler of the gate's port.
+    """Return the handler of the port for other daemons.
 
-    :param gate: takes requests for the backend server beside this daemon.
-    :param entry: takes requests that another daemon passed on because this one
-        issued their key.
+    :param gate: handles requests for the backend server beside this daemon.
+    :param entry: handles requests that another daemon relayed because this daemon
+        issued their idempotency key.
     """
 
     def handle(incoming: IncomingRequest) -> Awaitable[Answer]:
--- a/src/wagtailstep/network/connection_watch.py
+++ b/src/wagtailstep/network/connection_watch.py
@@ -1,10 +1,10 @@
-"""Finding connections that have gone silent while new ones work.
+"""Detection of pooled connections that drop all packets without an error.
 
-Something between two daemons may lose track of a connection: what is sent over it
-arrives nowhere, and no error tells. If a kept connection brings no answer for a
-while, its entry asks the gate over a new connection what became of the request.
-A gate that has not seen it bars it for good and says so; then it certainly was not
-run, may be sent again, and only the connection is to blame.
+A middlebox between two daemons may forget a connection, so that nothing sent over it
+arrives. If a pooled connection brings no response for a while, the entry queries the
+gate over a new connection for the state of the attempt. A gate that has not seen the
+attempt blocks it for good; then it was certainly not run, may be sent again, and only
+the connection is to blame.
 """
 
 import asyncio
@@ -22,7 +22,8 @@
 from wagtailstep.network.http_connection import HttpConnection, HttpRequest
 
 INQUIRY_TIMEOUT = timedelta(milliseconds=500)
-# The gate remembers an attempt for longer, so a later "never seen" proves nothing.
+# Within this time the gate still knows every attempt that has arrived, so "not seen"
+# proves that it was not run. Later the gate may have forgotten it.
 MAX_PROOF_AGE = timedelta(seconds=30)
 REVOCATION_PATH = "/.wagtailstep/revocations/"
 
@@ -30,21 +31,21 @@
 
 
 class AttemptStateAnswer(msgspec.Struct):
-    """Answer of a gate about an attempt.
+    """Response of a gate to a query about an attempt.
 
-    :param state: value of :class:`wagtailstep.models.gate.AttemptState`.
+    :param state: state of the attempt.
     """
 
     state: AttemptState
 
 
 class ConnectionWatch:
-    """Watch one exchange on a kept connection until its head arrives.
+    """Watch a pooled connection until the head of the response arrives.
 
-    :param connection: the connection; broken if it turns out to be silent.
+    :param connection: the connection; it is failed if it lost the request.
     :param request: the request that was sent over it.
-    :param send: sends an inquiry over another connection.
-    :param on_unreachable: told the address of a gate that can't be asked.
+    :param send: sends a query over another connection.
+    :param on_unreachable: called with the address of a gate that can't be queried.
     """
 
     def __init__(
@@ -65,17 +66,17 @@
         self.timer = self.loop.call_later(self.interval, self.start_queries)
 
     def start_queries(self) -> None:
-        """Start to ask; the head has not arrived in time."""
+        """Start to query the gate, since the response head has not arrived in time."""
         self.task = asyncio.create_task(self.query_repeatedly())
 
     def stop(self) -> None:
-        """End the watch."""
+        """Stop the timer and the queries."""
         self.timer.cancel()
         if self.task is not None:
             self.task.cancel()
 
     async def query_repeatedly(self) -> None:
-        """Ask until the gate says that the connection lost something."""
+        """Query the gate until the connection is known to have lost data."""
         while True:
             state = await self.query_attempt_state()
             error = self.assess_state(state)
@@ -85,7 +86,7 @@
             await asyncio.sleep(self.interval)
 
     async def query_attempt_state(self) -> AttemptState | None:
-        """Return what the gate says, or ``None`` if it can't be asked."""
+        """Return the state of the attempt, or ``None`` if the gate can't be queried."""
         inquiry = HttpRequest(
             address=self.connection.address,
             method="POST",
@@ -104,13 +105,13 @@
             return None
 
     def assess_state(self, state: AttemptState | None) -> ConnectionFailedError | None:
-        """Return why the connection is given up, or ``None`` if it is not."""
+        """Return the error to fail the connection with, or ``None`` to keep it."""
         if state is None or state is AttemptState.HELD:
             return None
         age = timedelta(seconds=self.loop.time() - self.started_at)
         revoked = state is AttemptState.REVOKED and age < MAX_PROOF_AGE
         error = ConnectionFailedError(
-            f"the connection to {self.connection.address} has gone silent",
+            f"connection to {self.connection.address} lost a request or its response",
             Verdict.NOT_RUN if revoked else Verdict.MAY_HAVE_RUN,
         )
         error.blame = Blame.CONNECTION
--- a/src/wagtailstep/network/entry.py
+++ b/src/wagtailstep/network/entry.py
@@ -1,7 +1,7 @@
-"""The entry: takes callers' requests and brings each to one true outcome.
+"""The entry: handles callers' requests and returns one response for each.
 
-No sockets here: a server adapter calls :meth:`EntryService.handle`, a client adapter
-is the :class:`~wagtailstep.models.exchange.Forwarder` and the
+It opens no sockets: an HTTP server calls :meth:`EntryService.handle`, and requests are
+sent by the :class:`~wagtailstep.models.exchange.Forwarder` and the
 :class:`~wagtailstep.models.exchange.Relay`.
 """
 
@@ -67,11 +67,11 @@
     """Handle callers' requests at one daemon.
 
     :param routing: the daemon's routing controller.
-    :param guard: the daemon's duplicate guard.
+    :param guard: decides whether requests with an idempotency key may run.
     :param forwarder: sends attempts to gates.
-    :param relay: passes keyed requests to other entries.
-    :param dispatch: gives an event to all controllers and applies their effects.
-    :param apply: applies effects that the guard returned; it gives each
+    :param relay: sends requests with an idempotency key to other daemons' entries.
+    :param dispatch: passes an event to all controllers and applies their effects.
+    :param apply: applies effects that the guard returned; it passes each
         :class:`~wagtailstep.models.idempotency.RequestDecided` to
         :meth:`deliver_decision`.
     """
@@ -106,10 +106,9 @@
         self.pending_decisions: dict[str, asyncio.Future[Decision]] = {}
 
     async def handle(self, incoming: IncomingRequest) -> Answer:
-        """Bring one request to its end.
+        """Handle one request; failures become problem documents.
 
-        :return: the answer; its body must be read or it must be closed, and it
-            must be closed in the end.
+        :return: the response; the receiver may read its body and must close it.
         """
         request_id = make_id(self.rng)
         request: RequestContext | None = None
@@ -147,7 +146,7 @@
         return str(self.guard.tickets.issue(service))
 
     def deliver_decision(self, effect: RequestDecided) -> None:
-        """Take the decision about a request that waits for one."""
+        """Pass the guard's decision to the request that waits for it."""
         future = self.pending_decisions.pop(effect.request_id, None)
         if future is not None and not future.done():
             future.set_result(effect.decision)
@@ -155,12 +154,12 @@
             self.release_run(effect.decision)
 
     async def serve(self, request: RequestContext, incoming: IncomingRequest) -> Answer:
-        """Admit a request and bring it to its end.
+        """Check that a request may be admitted, then serve it.
 
-        :raises RequestError: if no answer can be had.
+        :raises RequestError: if the request gets no response.
         """
         limit = self.settings.requests.replay_body_bytes
-        # The length that a head announces was checked when it was read.
+        # A Content-Length was checked with the head; this covers chunked bodies.
         source = limit_body(incoming.body, self.blackboard.table.max_body_bytes)
         body = ReplayableBody(source, limit)
         try:
@@ -176,7 +175,7 @@
             raise
 
     async def serve_admitted(self, exchange: Exchange) -> Answer:
-        """Run a request, or have its guard say what to do with it."""
+        """Send a request, or first ask the guard if it has an idempotency key."""
         if exchange.request.guarded:
             return await self.serve_guarded(exchange)
         if exchange.has_small_body:
@@ -186,9 +185,9 @@
     def downgrade_unproven_not_run(
         self, request: RequestContext, error: RequestError
     ) -> RequestError:
-        """Take back a ``NOT_RUN`` that is only true of this sending.
+        """Replace ``NOT_RUN`` if it only holds for this copy of a request.
 
-        An earlier sending under the same key may have run at another daemon.
+        An earlier copy with the same key may have run at another daemon.
 
         :return: the error, its verdict changed if needed.
         """
@@ -202,9 +201,9 @@
         return error
 
     async def serve_guarded(self, exchange: Exchange) -> Answer:
-        """Do what the guard decides about a request.
+        """Serve a request with an idempotency key as the guard decides.
 
-        :raises RequestError: if no answer can be had.
+        :raises RequestError: if the request gets no response.
         """
         request = exchange.request
         body_start = await self.within_deadline(exchange, exchange.body.prefetch())
@@ -221,9 +220,9 @@
     async def within_deadline(
         self, exchange: Exchange, reading: Awaitable[bytes]
     ) -> bytes:
-        """Await the reading of the caller's body until the deadline.
+        """Await a read of the request body until the request's deadline.
 
-        :raises RequestError: if the caller cut the body or was too slow.
+        :raises RequestError: if the caller aborted the body or was too slow.
         """
         request = exchange.request
         try:
@@ -231,8 +230,8 @@
                 return await reading
         except TimeoutError:
             error = DeadlineExceededError(
-                "the request body did not arrive within the time allowed; send it "
-                "again with more time",
+                "request body did not arrive before the deadline; send the request "
+                "again with a longer timeout",
                 Verdict.NOT_RUN,
             )
             raise self.downgrade_unproven_not_run(request, error) from None
@@ -240,7 +239,7 @@
     async def wait_for_decision(
         self, request: RequestContext, effects: tuple[Any, ...]
     ) -> Decision:
-        """Wait until :meth:`deliver_decision` brings the guard's decision.
+        """Wait until :meth:`deliver_decision` passes on the guard's decision.
 
         :raises RequestError: if the deadline passes first.
         """
@@ -254,8 +253,8 @@
             return decision
         except TimeoutError:
             error = DeadlineExceededError(
-                "the time allowed passed before it was decided who runs the request; "
-                "send it again with the same key",
+                "deadline exceeded before the duplicate check of the idempotency key "
+                "finished; send the request again with the same key",
                 Verdict.NOT_RUN,
             )
             raise self.downgrade_unproven_not_run(request, error) from None
@@ -266,9 +265,9 @@
     def cancel_wait(
         self, request: RequestContext, future: asyncio.Future[Decision]
     ) -> None:
-        """Tell the guard that nobody waits for a decision any more.
+        """Withdraw a request from the guard, or decline what it has just decided.
 
-        The decision may have come in the same step as the cancellation.
+        The decision may arrive in the same event loop step as the cancellation.
         """
         if self.pending_decisions.pop(request.request_id, None) is not None:
             self.guard.abandon(request)
@@ -276,17 +275,17 @@
             self.release_run(future.result())
 
     def release_run(self, decision: Decision) -> None:
-        """Give back the right to run a request that nobody waits for."""
+        """Release the permission to run a request that is not waited for any more."""
         if isinstance(decision, RunHere):
             self.apply(self.guard.finish(decision.run_id, Verdict.NOT_RUN))
 
     @singledispatchmethod
     async def execute_decision(self, decision: Decision, exchange: Exchange) -> Answer:
-        """Do what the guard decided.
+        """Carry out the guard's decision about a request.
 
-        :raises RequestError: if no answer can be had.
+        :raises RequestError: if the request gets no response.
         """
-        raise TypeError(f"not a decision: {decision!r}")
+        raise TypeError(f"unknown decision of the duplicate guard: {decision!r}")
 
     @execute_decision.register
     async def _(self, decision: Refuse, exchange: Exchange) -> Answer:
@@ -303,7 +302,9 @@
     async def _(self, decision: PassOn, exchange: Exchange) -> Answer:
         member = self.blackboard.members.get(decision.daemon_id)
         if member is None:
-            raise make_unknown_error("the daemon that may run it is gone")
+            raise make_unknown_error(
+                "the daemon that may run it is no longer a known member"
+            )
         answer = await self.relay_request(exchange, member)
         return self.track_end(answer, lambda verdict, _: exchange.release())
 
@@ -322,11 +323,11 @@
             raise
 
     async def relay_request(self, exchange: Exchange, member: Member) -> Answer:
-        """Have another daemon serve a keyed request.
+        """Have another daemon serve a request with an idempotency key.
 
-        It may be sent again: the other daemon recognises the key.
+        A retry is safe, since the other daemon recognises the key.
 
-        :raises RequestError: ``MAY_HAVE_RUN`` if there is no answer.
+        :raises RequestError: ``MAY_HAVE_RUN`` if there is no response.
         """
         attempts_left = MAX_RELAY_ATTEMPTS
         while True:
@@ -336,14 +337,14 @@
             except (RequestError, TimeoutError) as error:
                 if attempts_left == 0 or not exchange.body.replayable:
                     raise make_unknown_error(
-                        f"daemon {member.daemon_id} may know, but can't be reached"
+                        f"daemon {member.daemon_id} may have run it but is unreachable"
                     ) from error
 
     async def relay_once(self, exchange: Exchange, member: Member) -> Answer:
-        """Send a keyed request to another daemon, within its deadline.
+        """Relay a request to another daemon once.
 
-        :raises RequestError: if there is no answer.
-        :raises TimeoutError: if there is none in time.
+        :raises RequestError: if there is no response.
+        :raises TimeoutError: if there is none before the deadline.
         """
         time_left = self.sender.time_left(exchange.request)
         incoming = self.build_relayed_request(exchange, time_left)
@@ -353,7 +354,7 @@
     def build_relayed_request(
         self, exchange: Exchange, time_left: timedelta
     ) -> IncomingRequest:
-        """Return the request as the other daemon's entry gets it."""
+        """Return the request as it is sent to the other daemon's entry."""
         time_left_ms = max(1, int(time_left.total_seconds() * 1_000))
         marked = replace_headers(
             exchange.incoming.headers,
@@ -366,9 +367,11 @@
         )
 
     async def buffer_answer(self, answer: Answer, exchange: Exchange) -> Answer:
-        """Read a small answer whole, so that a resend can get it too.
+        """Buffer a small response, so that a resend of the request can get it too.
+
+        A response above the size limit is streamed and not stored.
 
-        :raises RequestError: if the answer breaks off early.
+        :raises RequestError: if the response is truncated.
         """
         limit = self.settings.requests.answer_bytes
         try:
@@ -386,5 +389,5 @@
         return self.track_end(answer, lambda verdict, _: exchange.end(verdict))
 
     def track_end(self, answer: Answer, on_end: OnAnswerEnd) -> Answer:
-        """Return the answer with a body whose end is told to ``on_end``."""
+        """Return the response with a body that calls ``on_end`` at its end."""
         return AnswerStream(answer, on_end).build_answer()
--- a/src/wagtailstep/network/entry_notes.py
+++ b/src/wagtailstep/network/entry_notes.py
@@ -1,4 +1,4 @@
-"""What the entry tells the log and the controllers about requests."""
+"""Reports of the entry on requests, to the log and to the controllers."""
 
 import logging
 from collections.abc import Callable
@@ -20,10 +20,10 @@
 
 
 class EntryReporter:
-    """Tell of requests, and of calls by the backend server beside this daemon.
+    """Report on requests, and on calls made by the backend server beside this daemon.
 
-    :param clock: tells how long requests took.
-    :param dispatch: gives events to the controllers.
+    :param clock: measures the duration of requests.
+    :param dispatch: passes events to the controllers.
     """
 
     def __init__(
@@ -41,12 +41,12 @@
     def record_request(
         self, incoming: IncomingRequest, request: RequestContext
     ) -> None:
-        """Note a request whose head was read."""
+        """Record a request after its head was read."""
         if is_local(incoming.peer, self.settings):
             self.dispatch(LocalCall(request.service))
 
     def record_answer(self, incoming: IncomingRequest, status: int) -> None:
-        """Note the answer of a backend server."""
+        """Record the status of the response to a request."""
         if status >= FIRST_FAILURE_STATUS and is_local(incoming.peer, self.settings):
             refused = status == HTTPStatus.SERVICE_UNAVAILABLE
             self.dispatch(LocalCallFailed(incoming.path, refused))
@@ -54,10 +54,11 @@
     def record_end(
         self, request: RequestContext | None, outcome: str, started_at: timedelta
     ) -> None:
-        """Note the end of a request.
+        """Record the end of a request.
 
-        :param request: the request, if it could be read.
-        :param started_at: monotonic time when it arrived.
+        :param request: the request, or ``None`` if its head was invalid.
+        :param outcome: the status or the reason of the failure.
+        :param started_at: monotonic time at which it arrived.
         """
         service = request.service if request is not None else ""
         route = request.route if request is not None else ""
@@ -67,7 +68,7 @@
     def record_failure(
         self, incoming: IncomingRequest, request_id: str, error: RequestError
     ) -> None:
-        """Note a request that gets no answer of a backend server."""
+        """Record a request that gets no response of a backend server."""
         self.record_answer(incoming, error.status)
         log_event(
             LOGGER,
@@ -84,6 +85,6 @@
 
 
 def is_local(peer: str, settings: DaemonSettings) -> bool:
-    """Tell whether a caller is a process of this instance."""
+    """Return whether a caller is a process of this instance."""
     own_host = settings.caller_address.rpartition(":")[0]
     return peer == own_host or peer.startswith("127.")
--- a/src/wagtailstep/network/exchange_app.py
+++ b/src/wagtailstep/network/exchange_app.py
@@ -1,9 +1,8 @@
-"""ASGI application that carries requests and answers without changing them.
+"""ASGI application that proxies requests and responses without changing them.
 
-BlackSheep serves the daemon's own endpoints. Requests that are passed on go through
-this thin layer instead: BlackSheep adds a content type and length of its own, ends
-an answer at its first empty chunk, and turns a failure in the middle of an answer
-into a second one, each of which would alter what the backend server said.
+BlackSheep only serves the daemon's own endpoints, since it would alter proxied
+responses: it adds a content type and length of its own, ends a response at its first
+empty chunk, and turns a failure within a response into a second response.
 """
 
 import logging
@@ -33,13 +32,13 @@
 
 
 class FramingError(BadRequestError):
-    """It is in doubt where the request ends."""
+    """It is ambiguous where the request ends; its connection can't be reused."""
 
 
 class ExchangeApp:
-    """Pass each request to a handler and stream its answer back.
+    """Pass each request to a handler and stream its response back.
 
-    :param handle: takes the request and returns an answer or raises
+    :param handle: handles the request and returns a response or raises
         :class:`wagtailstep.exceptions.RequestError`.
     """
 
@@ -48,7 +47,7 @@
         self.closing = False
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Serve one exchange."""
+        """Serve one request; abort the connection if its response is truncated."""
         connection: ServerConnection = scope[CONNECTION_KEY]
         answer = await self.call_handler(scope, receive)
         try:
@@ -60,11 +59,11 @@
             await answer.close()
 
     def announce_closing(self) -> None:
-        """Have every answer from now on close its connection."""
+        """Send ``Connection: close`` with every response from now on."""
         self.closing = True
 
     async def call_handler(self, scope: Any, receive: Any) -> Answer:
-        """Return the handler's answer, or one that describes its failure."""
+        """Return the handler's response, or a problem document on its failure."""
         try:
             return await self.handle(read_request(scope, receive))
         except RequestError as error:
@@ -82,7 +81,7 @@
             return build_error_answer(build_internal_error())
 
     async def send_answer(self, answer: Answer, send: Any) -> None:
-        """Write an answer, chunk by chunk, as fast as the connection takes it."""
+        """Write a response chunk by chunk, at the pace of the connection."""
         headers = encode_headers(answer.headers)
         if self.closing:
             headers.append(CLOSE_HEADER)
@@ -102,9 +101,9 @@
 
 
 def add_failure_headers(answer: Answer, error: RequestError) -> Answer:
-    """Return the answer with what the failure speaks against.
+    """Return the response with the blame for the failure.
 
-    After a request whose end is in doubt the connection can't be used again.
+    After a request with an ambiguous end, the connection is closed.
     """
     added = [(BLAME, error.blame.value)]
     if isinstance(error, FramingError):
@@ -113,14 +112,14 @@
 
 
 def read_request(scope: Any, receive: Any) -> IncomingRequest:
-    """Turn an ASGI scope into a request.
+    """Convert an ASGI scope into a request.
 
-    :raises BadRequestError: if its length is announced twice, or it asks for a
-        tunnel.
+    :raises FramingError: if it has two announced lengths, or its method is
+        ``CONNECT``.
     """
     if scope["method"] == "CONNECT":
         status = HTTPStatus.METHOD_NOT_ALLOWED
-        raise FramingError("tunnels (CONNECT) are not served", status)
+        raise FramingError("method CONNECT is not supported", status)
     headers = decode_headers(scope["headers"])
     check_framing(headers)
     path = scope["raw_path"].decode("ascii")
@@ -131,27 +130,29 @@
 
 
 def check_framing(headers: Headers) -> None:
-    """Refuse a request with two announced lengths, which hides a second request.
+    """Reject a request with two announced lengths, a means of request smuggling.
 
-    :raises FramingError: if both kinds of framing are present.
+    :raises FramingError: if both headers are present.
     """
     chunked = find_header(headers, "transfer-encoding") is not None
     if chunked and find_header(headers, "content-length") is not None:
         raise FramingError(
-            "a request may have content-length or transfer-encoding, not both"
+            "request has both content-length and transfer-encoding; send only one"
         )
 
 
 async def read_body(receive: Any) -> AsyncIterator[bytes]:
-    """Yield the body of a request; not reading it holds the caller back.
+    """Yield the body of a request; the caller is held back while it is not read.
 
-    :raises BadRequestError: if the caller cut it.
+    :raises BadRequestError: if the caller disconnects before its end.
     """
     more_body = True
     while more_body:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise BadRequestError("the caller closed the connection within the body")
+            raise BadRequestError(
+                "caller disconnected before the end of the request body"
+            )
         if message["body"]:
             yield message["body"]
         more_body = message["more_body"]
--- a/src/wagtailstep/network/exchanges.py
+++ b/src/wagtailstep/network/exchanges.py
@@ -1,4 +1,4 @@
-"""What the entry keeps of one request until it has ended."""
+"""State that the entry keeps of one request until the request has ended."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -21,24 +21,24 @@
 
 @attrs.define
 class Exchange:
-    """One admitted request, from its head to the end of its answer.
-
-    :param request: the request.
-    :param incoming: the request as the adapter read it.
-    :param body: its body.
-    :param routing: counts it out when it ends.
-    :param attempts: attempts made.
-    :param sent: attempts that a backend server may have got.
-    :param tried: ``target_id`` of targets that were tried.
-    :param verdict: verdict of all attempts that have ended.
-    :param expected_waits: how long gates that had no free slot expected it to wait, by
-        ``target_id``.
-    :param last_resort: the doubted target that is tried in place of a refusal.
-    :param attempt_in_progress: whether an attempt is under way.
-    :param abandoned: whether the attempt was ended since it took too long.
-    :param on_end: called once when a guarded run has ended.
-    :param ended: whether the run has ended.
-    :param released: whether it has been counted out.
+    """An admitted request, from its head to the end of its response.
+
+    :param request: what was read from the request's head.
+    :param incoming: the request as the HTTP server read it.
+    :param body: the request body.
+    :param routing: released when the request has ended.
+    :param attempts: number of attempts made.
+    :param sent: number of attempts that may have reached a backend server.
+    :param tried: ``target_id`` of the targets tried so far.
+    :param verdict: combined verdict of all attempts that have ended.
+    :param expected_waits: wait for a slot that each gate without a free one has
+        announced, by ``target_id``.
+    :param last_resort: a doubted target that is tried before giving up.
+    :param attempt_in_progress: whether an attempt waits for its response head.
+    :param abandoned: whether the attempt was cancelled by its attempt timeout.
+    :param on_end: called once at the end of a run that the duplicate guard allowed.
+    :param ended: whether :meth:`end` was called.
+    :param released: whether :meth:`release` was called.
     """
 
     request: RequestContext
@@ -59,13 +59,13 @@
 
     @property
     def has_small_body(self) -> bool:
-        """Return whether the body is known to be small enough to read ahead."""
+        """Return whether the announced body is small enough to be buffered."""
         length = read_number(self.incoming.headers, "content-length") or 0
         return 0 < length <= self.body.limit
 
     @property
     def verdict_if_cancelled(self) -> Verdict:
-        """Return the verdict if the request stops now."""
+        """Return the verdict in case the request is cancelled now."""
         if self.attempt_in_progress:
             return worst_verdict(self.verdict, Verdict.MAY_HAVE_RUN)
         return self.verdict
@@ -78,9 +78,9 @@
         )
 
     def correct_verdict(self, error: RequestError) -> RequestError:
-        """Take back a ``NOT_RUN`` of an attempt whose body the caller cut.
+        """End the attempt; drop ``NOT_RUN`` if the caller aborted the body.
 
-        That error says nothing about what had been sent by then.
+        That error does not tell how much had been sent by then.
 
         :return: the error, its verdict changed if needed.
         """
@@ -90,16 +90,16 @@
         return error
 
     def include_earlier_attempts(self, error: RequestError) -> None:
-        """Have an error's verdict and status cover the attempts before it, too."""
+        """Extend an error's verdict and status to all attempts before it."""
         promises = error.verdict is Verdict.NOT_RUN
         error.verdict = worst_verdict(error.verdict, self.verdict)
         self.verdict = error.verdict
         if promises and error.verdict is not Verdict.NOT_RUN:
-            # Statuses of refusals tell that nothing was run.
+            # The status of a rejection would promise that nothing was run.
             error.status = HTTPStatus.BAD_GATEWAY
 
     def end(self, verdict: Verdict, answer: StoredAnswer | None = None) -> None:
-        """End a guarded run and count the request out; later calls do nothing."""
+        """Report the end of the run and release the request; later calls do nothing."""
         if not self.ended:
             self.ended = True
             if self.on_end is not None:
@@ -107,7 +107,7 @@
         self.release()
 
     def release(self) -> None:
-        """Count the request out; later calls do nothing."""
+        """Release the request's admission; later calls do nothing."""
         if not self.released:
             self.released = True
             self.routing.release(self.request)
--- a/src/wagtailstep/network/forwarder.py
+++ b/src/wagtailstep/network/forwarder.py
@@ -1,4 +1,7 @@
-"""From the entry to the gate beside a target, on this instance or another."""
+"""Forwards requests from the entry to the gate beside a target.
+
+The gate may be on this instance or on another one.
+"""
 
 import itertools
 from datetime import timedelta
@@ -53,7 +56,7 @@
 MILLISECOND = timedelta(milliseconds=1)
 GATE_DEADLINE_MARGIN = timedelta(milliseconds=20)
 MAX_PROBLEM_BYTES = 16_384
-# A body up to this size is sent along; asking first costs a round trip.
+# Larger bodies use "Expect: 100-continue", which costs a round trip.
 SMALL_BODY_BYTES = 16_384
 
 ERROR_TYPES: dict[str, type[RequestError]] = {
@@ -75,12 +78,12 @@
 
 
 class HttpForwarder:
-    """Send attempts to gates over HTTP, or by a call if the gate is this daemon.
+    """Send attempts to gates over HTTP, or by a method call within this daemon.
 
-    :param blackboard: read for this daemon's own identifier.
-    :param client: reaches the gates of other daemons.
+    :param blackboard: provides this daemon's identifier.
+    :param client: sends requests to the gates of other daemons.
     :param gate: the gate of this daemon.
-    :param caller_service: service on whose instance the requests begin, if known.
+    :param caller_service: service of the instance that the callers run on, if known.
     """
 
     def __init__(
@@ -104,9 +107,9 @@
         incoming: IncomingRequest,
         time_left: timedelta,
     ) -> Answer:
-        """Send the request once, never again, and return the answer's head.
+        """Send the request once, without a retry, and return its response.
 
-        :raises RequestError: with the verdict; ``NOT_RUN`` only as a fact.
+        :raises RequestError: with the verdict; ``NOT_RUN`` only if it is certain.
         """
         attempt_id = f"{request.request_id}.{next(self.attempt_serials)}"
         headers = build_gate_headers(request, target_id, incoming, time_left)
@@ -134,7 +137,7 @@
         try:
             answer = await self.client.send(sent)
         except DeadlineExceededError as error:
-            # A gate that can be reached tells of a deadline itself, a little earlier.
+            # A reachable gate reports an exceeded deadline itself, slightly earlier.
             if error.verdict is not Verdict.NOT_RUN:
                 error.blame = Blame.PATH
             raise
@@ -142,7 +145,7 @@
 
 
 def build_scheduling_headers(request: RequestContext, now: timedelta) -> Headers:
-    """Return the headers that tell the gate how to queue a request.
+    """Return the headers by which the gate queues a request.
 
     :param now: monotonic time.
     """
@@ -165,8 +168,8 @@
 ) -> Headers:
     """Return the headers for the gate.
 
-    The gate is given a little less time, so that its answer on a deadline arrives
-    before this daemon gives up.
+    The gate gets an earlier deadline, so that its report of an exceeded deadline
+    arrives before this daemon times out.
     """
     margin = min(GATE_DEADLINE_MARGIN, time_left / 10)
     gate_headers = (
@@ -180,10 +183,10 @@
 
 
 def add_expect_continue(headers: Headers) -> Headers:
-    """Have a large body wait until the gate wants it.
+    """Add ``Expect: 100-continue`` if the body is large.
 
-    A gate that refuses the request then leaves the body unread, so that it can be
-    sent to another one. A small body is kept by the entry and needs no such wait.
+    A gate that rejects the request then leaves the body unread, so that it can be
+    sent to another gate. Small bodies are buffered by the entry and can be resent.
     """
     length = find_header(headers, "content-length") or "0"
     chunked = find_header(headers, "transfer-encoding") is not None
@@ -193,9 +196,10 @@
 
 
 async def validate_answer(answer: Answer, request_id: str) -> Answer:
-    """Return the backend server's answer.
+    """Return the response if it is the backend server's response to this request.
 
-    :raises RequestError: if the gate refused, or the answer is to another request.
+    :raises RequestError: if the gate rejected the request, or if the response
+        belongs to another request.
     """
     if find_header(answer.headers, REASON) is not None:
         raise await read_refusal(answer)
@@ -203,14 +207,14 @@
         return answer
     await answer.close()
     error = ConnectionFailedError(
-        "an answer to another request arrived and was dropped", Verdict.MAY_HAVE_RUN
+        "received a response to another request; it was dropped", Verdict.MAY_HAVE_RUN
     )
     error.blame = Blame.CONNECTION
     raise error
 
 
 async def read_refusal(answer: Answer) -> RequestError:
-    """Turn the gate's own answer back into the error that it describes."""
+    """Rebuild the error from the gate's problem document and headers."""
     detail = await read_detail(answer)
     headers = answer.headers
     error_type = ERROR_TYPES.get(find_header(headers, REASON) or "", RequestError)
@@ -229,7 +233,7 @@
 
 
 async def read_detail(answer: Answer) -> str:
-    """Return the text of a problem document, or a general one."""
+    """Return the detail of a problem document, or a default text."""
     data = b""
     try:
         async for chunk in answer.body:
@@ -238,26 +242,26 @@
                 break
         return msgspec.json.decode(data, type=Problem).detail
     except (TruncatedAnswerError, msgspec.MsgspecError):
-        return "the gate refused the request"
+        return "the gate rejected the request without a readable reason"
     finally:
         await answer.close()
 
 
 class Problem(msgspec.Struct):
-    """The part of a problem document that is read."""
+    """The part of a problem document that the entry reads."""
 
     detail: str
 
 
 def read_verdict(headers: Headers) -> Verdict:
-    """Return the gate's verdict; an unknown one claims nothing."""
+    """Return the gate's verdict, or ``MAY_HAVE_RUN`` if it is missing or unknown."""
     value = find_header(headers, VERDICT)
     known = {verdict.value for verdict in Verdict}
     return Verdict(value) if value in known else Verdict.MAY_HAVE_RUN
 
 
 def read_retry_after(headers: Headers) -> timedelta | None:
-    """Return the time after which the gate may be asked again."""
+    """Return the time after which a retry at the gate makes sense, if it tells one."""
     exact_ms = read_number(headers, RETRY_AFTER_MS)
     if exact_ms is not None:
         return exact_ms * MILLISECOND
--- a/src/wagtailstep/network/gate.py
+++ b/src/wagtailstep/network/gate.py
@@ -1,4 +1,4 @@
-"""The gate: from other daemons' requests to the backend server beside this one."""
+"""The gate: hands requests of entries to the backend server beside this daemon."""
 
 import asyncio
 import itertools
@@ -83,20 +83,21 @@
 
 LOGGER = logging.getLogger(__name__)
 MILLISECOND = timedelta(milliseconds=1)
-# What was queued for an expected wait may wait longer, since giving it up would waste
-# the time that it has waited; a leaving backend server must get no work after 2 s.
+# Factor on the queue timeout after which a queued request is rejected. Requests are
+# admitted by their expected wait; rejecting one that waits longer would waste the time
+# it has waited. A leaving backend server must get no new work after 2 s.
 MAX_WAIT_FACTOR = 1.8
 OVERLOAD_STATUSES = frozenset({429, 503})
 
 
 class GateService:
-    """Take requests for the backend servers beside this daemon.
+    """Handle requests for the backend servers beside this daemon.
 
     :param settings: settings of the daemon.
-    :param controller: decides on admission.
-    :param client: reaches the backend servers over loopback.
+    :param controller: decides which requests start, wait or are rejected.
+    :param client: sends requests to the backend servers over loopback.
     :param clock: source of monotonic time.
-    :param dispatch: is told of the work of the backend servers.
+    :param dispatch: receives events on the work of the backend servers.
     """
 
     def __init__(
@@ -116,16 +117,19 @@
         self.waiters: dict[int, asyncio.Future[None]] = {}
         self.start_times: dict[int, timedelta] = {}
         member = controller.blackboard.this_member
-        # A restarted gate knows nothing of what its predecessor took.
+        # Unique per process: a restarted gate does not know its predecessor's requests.
         self.gate_id = f"{member.daemon_id}.{member.incarnation}"
 
     async def handle_revocation(self, incoming: IncomingRequest) -> Answer:
-        """Tell an entry what became of an attempt, and bar it if it never came.
+        """Return the state of an attempt; block it if it has not arrived yet.
 
         :raises BadRequestError: if the attempt was sent to an earlier process.
         """
         if find_header(incoming.headers, GATE_ID) != self.gate_id:
-            raise BadRequestError("another gate is asked for", HTTPStatus.CONFLICT)
+            raise BadRequestError(
+                "the attempt was sent to another process of this gate",
+                HTTPStatus.CONFLICT,
+            )
         attempt_id = incoming.path.removeprefix(REVOCATION_PATH)
         (effect,) = self.controller.handle(AttemptRevoked(attempt_id))
         data = msgspec.json.encode(AttemptStateAnswer(effect.state))
@@ -167,7 +171,10 @@
         return attrs.evolve(answer, headers=(*answer.headers, *daemon_headers))
 
     def build_call_headers(self, route: str, status: int) -> Headers:
-        """Return headers on the calls that a run makes, and whether one was refused."""
+        """Return headers on the calls to other services that a run makes.
+
+        A failure soon after a rejected call is marked as caused by it.
+        """
         board = self.controller.blackboard
         ratios = board.calls_per_run.get(route, {})
         text = ",".join(f"{name}={ratio:.2f}" for name, ratio in ratios.items())
@@ -180,9 +187,9 @@
         return headers
 
     def read_request(self, incoming: IncomingRequest) -> GateRequest:
-        """Read what the entry says of a request.
+        """Read the entry's headers of a request.
 
-        :raises BadRequestError: if a header is missing or wrong.
+        :raises BadRequestError: if a header is missing or invalid.
         """
         headers = incoming.headers
         request_id = require_header(headers, REQUEST_ID)
@@ -204,9 +211,9 @@
         )
 
     async def wait_for_slot(self, request: GateRequest) -> None:
-        """Return when the request has a slot.
+        """Wait until the request has a slot.
 
-        :raises RequestError: if it is refused; it was not run.
+        :raises RequestError: if the request is rejected; it was not run.
         """
         future = asyncio.get_running_loop().create_future()
         self.waiters[request.serial] = future
@@ -230,15 +237,17 @@
             del self.waiters[request.serial]
 
     def build_expiry_error(self, request: GateRequest) -> RequestError:
-        """Describe why a request left the queue without a slot."""
+        """Return the error for a request that got no slot in time."""
         if request.deadline <= self.clock.monotonic():
-            message = "the deadline passed while the request waited"
+            message = "deadline exceeded while the request was queued at the gate"
             return DeadlineExceededError(message, Verdict.NOT_RUN)
         retry_after = timedelta(milliseconds=self.settings.queue_timeout_ms)
-        return OverloadedError(f"no slot of {request.target_id} was free", retry_after)
+        return OverloadedError(
+            f"no slot of {request.target_id} became free in time", retry_after
+        )
 
     async def run(self, request: GateRequest, incoming: IncomingRequest) -> Answer:
-        """Send the request to its backend server, once."""
+        """Send the request to its backend server, without a retry."""
         try:
             sent = self.build_backend_request(request, incoming)
             answer = await self.client.send(sent)
@@ -257,13 +266,15 @@
     def build_backend_request(
         self, request: GateRequest, incoming: IncomingRequest
     ) -> HttpRequest:
-        """Return the request for the backend server, with the time left to it.
+        """Return the request for the backend server, with its remaining timeout.
 
-        :raises NoTargetError: if the backend server has left meanwhile.
+        :raises NoTargetError: if the backend server has left the fleet.
         """
         target = self.controller.blackboard.targets.get(request.target_id)
         if target is None:
-            raise NoTargetError(f"{request.target_id} has left")
+            raise NoTargetError(
+                f"backend server {request.target_id} has left the fleet"
+            )
         time_left = request.deadline - self.clock.monotonic()
         daemon_headers = [
             (REQUEST_ID, request.request_id),
@@ -287,7 +298,7 @@
         )
 
     def track_answer(self, request: GateRequest, answer: Answer) -> Answer:
-        """Return the answer; the slot is free when its body has ended."""
+        """Return the response with a ``close`` that frees the slot."""
         result = RunResult.ANSWERED
         if answer.status in OVERLOAD_STATUSES:
             result = RunResult.REFUSED
@@ -310,10 +321,10 @@
         complete: bool = True,
         truncated: bool = False,
     ) -> None:
-        """Tell the controllers what the backend server made of a request.
+        """Report to the controllers how the backend server handled a request.
 
-        :param complete: whether the whole answer was read.
-        :param truncated: whether the backend server broke the answer off.
+        :param complete: whether the complete response was read.
+        :param truncated: whether the backend server truncated the response.
         """
         work = assess_work(error, status, complete, truncated)
         started_at = self.start_times.pop(request.serial, None)
@@ -350,30 +361,33 @@
         self.apply_effects(self.controller.handle(event))
 
     def abandon_request(self, request: GateRequest) -> None:
-        """Take a request out of the queue or free its slot."""
+        """Remove a cancelled request from the queue or free its slot."""
         event = GateRequestAbandoned(request.serial)
         self.apply_effects(self.controller.handle(event))
 
     def apply_effects(self, effects: list[Any]) -> None:
-        """Wake the requests that the controller started or refused."""
+        """Wake the requests that the controller started or rejected."""
         for effect in effects:
             self.apply(effect)
 
     @singledispatchmethod
     def apply(self, effect: Any) -> None:
-        """Apply one effect; kinds that are not the gate's are an error."""
+        """Apply one effect.
+
+        :raises TypeError: if it is none of the gate's effects.
+        """
         raise TypeError(f"not an effect of the gate: {effect!r}")
 
     @apply.register
     def apply_start(self, effect: StartRequest) -> None:
-        """Let a request go on; one that has just gone gives its slot back."""
+        """Let a queued request proceed; a cancelled one frees its slot itself."""
         future = self.waiters.get(effect.serial)
         if future is not None and not future.done():
             future.set_result(None)
 
     @apply.register
     def apply_refusal(self, effect: RefuseRequest) -> None:
-        """End a request that waits."""
+        """Reject a queued request."""
         future = self.waiters.get(effect.serial)
         if future is not None and not future.done():
             future.set_exception(effect.error)
--- a/src/wagtailstep/network/gate_answers.py
+++ b/src/wagtailstep/network/gate_answers.py
@@ -1,4 +1,4 @@
-"""What the gate reads from requests, and what answers tell of backend servers."""
+"""Reading of the gate's request headers and assessment of responses."""
 
 from datetime import timedelta
 from http import HTTPStatus
@@ -27,28 +27,28 @@
 from wagtailstep.network.bodies import discard_answer
 
 MILLISECOND = timedelta(milliseconds=1)
-# A backend server that turns a request away is full for about as long as one runs.
+# A backend server that rejects a request is full for about the time one request runs.
 NOT_EXECUTED_RETRY_AFTER = timedelta(milliseconds=300)
 
 
 async def validate_answer(request: GateRequest, answer: Answer) -> None:
-    """Refuse what is no answer to this request, or says that it was not run.
+    """Check that a response belongs to the request and that the request was run.
 
-    :raises RequestError: with the verdict that the answer allows.
+    :raises RequestError: otherwise, with the verdict that the response allows.
     """
     headers = answer.headers
     misdirected = answer.status == HTTPStatus.MISDIRECTED_REQUEST
     if misdirected or find_header(headers, NOT_EXECUTED) is not None:
         await discard_answer(answer)
-        message = f"{request.target_id} turned the request away ({answer.status})"
+        message = f"{request.target_id} rejected the request (status {answer.status})"
         error = NotExecutedError(message, NOT_EXECUTED_RETRY_AFTER)
         if misdirected:
             error.blame = Blame.BACKEND_SERVER
         raise error
     if find_header(headers, REQUEST_ID) != request.request_id:
-        fault = "an answer without the identifier of the request"
+        fault = "a response without the identifier of the request"
     elif find_header(headers, "content-encoding") is not None:
-        fault = "an encoded answer that nobody asked for"
+        fault = "a response with a content-encoding that was not requested"
     else:
         return
     await answer.close()
@@ -64,24 +64,29 @@
     """
     value = find_header(headers, name)
     if not value:
-        raise BadRequestError(f"a request to the gate needs the header {name}")
+        raise BadRequestError(f"header {name} is missing; requests to the gate need it")
     return value
 
 
 def read_timeout(headers: Headers) -> timedelta:
-    """Return the time left to a request.
+    """Return the remaining timeout of a request.
 
-    :raises BadRequestError: if the header is missing or no number.
+    :raises BadRequestError: if the header is missing or not a number.
     """
     text = require_header(headers, TIMEOUT_MS)
     time_ms = read_number(headers, TIMEOUT_MS)
     if time_ms is None:
-        raise BadRequestError(f"{TIMEOUT_MS} is {text!r}, not a number of ms")
+        raise BadRequestError(
+            f"header {TIMEOUT_MS} is {text!r}; allowed: a number of milliseconds"
+        )
     return time_ms * MILLISECOND
 
 
 def read_standing(headers: Headers) -> TargetStanding:
-    """Return the standing that the entry knew; the worst one if it tells none."""
+    """Return the target's standing as known to the entry.
+
+    The worst standing is assumed if the header is missing or out of range.
+    """
     value = read_number(headers, STANDING)
     if value is None or value >= len(TargetStanding):
         return TargetStanding.FAILING
@@ -91,9 +96,13 @@
 def assess_work(
     error: RequestError | None, status: int, complete: bool, truncated: bool
 ) -> WorkResult | None:
-    """Say what the end of a request tells of its backend server.
+    """Return how a backend server handled a request.
 
-    :return: ``None`` if it tells nothing.
+    :param error: why there is no response, or ``None``.
+    :param status: HTTP status of the response.
+    :param complete: whether the complete response was read.
+    :param truncated: whether the backend server truncated the response.
+    :return: the result, or ``None`` if the end says nothing about the server.
     """
     if error is not None and error.blame is Blame.CALLER:
         return None
@@ -113,7 +122,7 @@
 
 
 def assess_failure(error: RequestError) -> RunResult:
-    """Say what a failed exchange tells of the backend server's capacity."""
+    """Return the result of a failed request, for the target's concurrency limit."""
     if isinstance(error, NotExecutedError):
         return RunResult.REFUSED
     if isinstance(error, DeadlineExceededError):
@@ -122,7 +131,7 @@
 
 
 def blame_backend_server(error: RequestError) -> RequestError:
-    """Return the error; over loopback there is nothing else to blame."""
+    """Blame the backend server, not the path or connection: they are loopback."""
     if error.blame in (Blame.PATH, Blame.CONNECTION):
         error.blame = Blame.BACKEND_SERVER
     return error
--- a/src/wagtailstep/network/interpret.py
+++ b/src/wagtailstep/network/interpret.py
@@ -1,4 +1,4 @@
-"""Interpretation of a request's headers."""
+"""Parsing and validation of the headers of callers' requests."""
 
 import hashlib
 from datetime import timedelta
@@ -26,11 +26,11 @@
     settings: RequestSettings,
     now: timedelta,
 ) -> RequestContext:
-    """Read what the fleet has to know from a request's head.
+    """Read a request that names its service in a header.
 
-    :param request_id: identifier for the request.
+    :param request_id: identifier of the request.
     :param now: monotonic time.
-    :raises BadRequestError: naming the header, its value and what is allowed.
+    :raises BadRequestError: if a header is missing or invalid.
     """
     service = read_name(incoming, headers.SERVICE, required=True)
     route = read_name(incoming, headers.ROUTE) or default_route(incoming.path)
@@ -66,9 +66,9 @@
     """Read a request whose route was found by host and path.
 
     :param route: its route.
-    :param service: the part of the route that takes it.
+    :param service: the service chosen by the route's traffic split.
     :param now: monotonic time.
-    :raises BadRequestError: if the time allowed is not a number.
+    :raises BadRequestError: if the timeout header is invalid.
     """
     allowed = timedelta(
         milliseconds=read_timeout_ms(incoming, settings.default_timeout_ms)
@@ -92,21 +92,23 @@
 
 
 def find_route(incoming: IncomingRequest, table: Table) -> HostRoute:
-    """Return the route of a request by its host and path.
+    """Return the route that matches the host and path of a request.
 
-    :raises NoRouteError: if there is none.
+    :raises NoRouteError: if none matches.
     """
     host = find_header(incoming.headers, "host") or ""
     route = table.host_routes.find(host, incoming.path)
     if route is None:
-        raise NoRouteError(f"no route for host {host!r} and this path")
+        raise NoRouteError(
+            f"no route matches host {host!r} and the path of the request"
+        )
     return route
 
 
 def read_caller_request_id(incoming: IncomingRequest) -> str:
-    """Return the identifier that the caller gave its request.
+    """Return the request identifier from the caller's header.
 
-    :raises BadRequestError: if there is none, or it is too long.
+    :raises BadRequestError: if it is missing or too long.
     """
     value = find_header(incoming.headers, headers.REQUEST_ID) or ""
     if not 0 < len(value) <= MAX_NAME_LENGTH:
@@ -116,25 +118,25 @@
 
 
 def default_route(path: str) -> str:
-    """Return the first segment of a path, the route where no header names one."""
+    """Return the first path segment, the route of requests without a route header."""
     return path.partition("?")[0].lstrip("/").partition("/")[0][:MAX_NAME_LENGTH]
 
 
 def read_name(incoming: IncomingRequest, name: str, required: bool = False) -> str:
-    """Read a header that holds a name; an empty string if it is missing.
+    """Return the value of a header that holds a name, or ``""`` if it is missing.
 
-    :raises BadRequestError: if the value is too long, or missing and required.
+    :raises BadRequestError: if the value is too long, or missing though required.
     """
     value = find_header(incoming.headers, name) or ""
     if required and not value:
-        raise BadRequestError(f"header {name} is missing; it names the service")
+        raise BadRequestError(f"header {name} is missing; it must name the service")
     if len(value) > MAX_NAME_LENGTH:
         raise build_header_error(name, value, f"up to {MAX_NAME_LENGTH} characters")
     return value
 
 
 def read_boolean(incoming: IncomingRequest, name: str, default: bool) -> bool:
-    """Read a header that holds a structured-field boolean.
+    """Return the value of a header that holds a structured-field boolean.
 
     :raises BadRequestError: if the value is neither ``?0`` nor ``?1``.
     """
@@ -147,25 +149,25 @@
 
 
 def read_timeout_ms(incoming: IncomingRequest, default_ms: int) -> int:
-    """Read the time that the caller has left, in milliseconds.
+    """Return the timeout of the request in milliseconds.
 
-    :raises BadRequestError: if the value is not a whole number in range.
+    :raises BadRequestError: if the value is not an integer in range.
     """
     name = headers.TIMEOUT_MS
     value = find_header(incoming.headers, name)
     if value is None:
         return default_ms
     if not (value.isascii() and value.isdigit() and len(value) <= 8):
-        raise build_header_error(name, value, f"a whole number up to {MAX_TIMEOUT_MS}")
+        raise build_header_error(name, value, f"an integer from 0 to {MAX_TIMEOUT_MS}")
     if int(value) > MAX_TIMEOUT_MS:
-        raise build_header_error(name, value, f"a whole number up to {MAX_TIMEOUT_MS}")
+        raise build_header_error(name, value, f"an integer from 0 to {MAX_TIMEOUT_MS}")
     return int(value)
 
 
 def read_key(incoming: IncomingRequest) -> str | None:
-    """Read the idempotency key or ticket.
+    """Return the idempotency key, which may be a ticket, or ``None`` without one.
 
-    :raises BadRequestError: if it is empty or too long, or if there are two.
+    :raises BadRequestError: if it is empty or too long, or if there are several.
     """
     name = headers.IDEMPOTENCY_KEY
     values = [value for key, value in incoming.headers if key == name]
@@ -178,15 +180,15 @@
 
 
 def build_header_error(name: str, value: str, allowed: str) -> BadRequestError:
-    """Make the error for a wrong header."""
+    """Return the error for an invalid header value, with what is allowed."""
     shown = value[:MAX_NAME_LENGTH]
     return BadRequestError(f"header {name} is {shown!r}; allowed: {allowed}")
 
 
 def fingerprint_request(request: RequestContext, body_start: bytes, length: str) -> str:
-    """Return a digest that tells requests under the same key apart.
+    """Return a hash that tells apart different requests with the same key.
 
-    :param body_start: the body as far as it is kept for a resend.
+    :param body_start: the buffered start of the body.
     :param length: value of the ``Content-Length`` header, or an empty string.
     """
     digest = hashlib.blake2b(digest_size=16)
--- a/src/wagtailstep/network/problems.py
+++ b/src/wagtailstep/network/problems.py
@@ -1,4 +1,4 @@
-"""Answers that wagtailstep makes itself, as ``application/problem+json``."""
+"""Error responses of wagtailstep itself, as ``application/problem+json``."""
 
 import math
 from collections.abc import AsyncIterator
@@ -20,10 +20,10 @@
 
 @attrs.frozen
 class Problem:
-    """A body after RFC 9457.
+    """A problem document according to RFC 9457.
 
-    :param type: kind of problem, as a relative URI.
-    :param title: short name of the kind.
+    :param type: type of the problem, as a relative URI.
+    :param title: short name of the type.
     :param status: HTTP status code.
     :param detail: what happened and what to do about it.
     :param verdict: whether a backend server may have run the request.
@@ -39,16 +39,16 @@
 
 
 async def yield_body(data: bytes) -> AsyncIterator[bytes]:
-    """Yield a whole body as one chunk, or nothing if it is empty."""
+    """Yield a complete body as one chunk, or nothing if it is empty."""
     if data:
         yield data
 
 
 def build_error_answer(error: RequestError, request_id: str = "") -> Answer:
-    """Make the answer for a request that ended without one.
+    """Return the error response for a failed request.
 
-    :param error: how the request ended.
-    :param request_id: identifier of the request, if it has one yet.
+    :param error: how the request failed.
+    :param request_id: identifier of the request, or ``""`` if it has none yet.
     """
     problem = Problem(
         type=f"/problems/{error.reason}",
@@ -85,7 +85,7 @@
 
 
 def choose_retry_after(error: RequestError) -> timedelta | None:
-    """Return when the caller may come back; a refusal always says so."""
+    """Return after which time the caller may retry; a rejection always has one."""
     if error.retry_after is not None:
         return error.retry_after
     refused = error.verdict is Verdict.NOT_RUN
@@ -95,9 +95,9 @@
 
 
 def build_internal_error() -> RequestError:
-    """Make the error for a fault of the daemon itself."""
+    """Return the error for an unexpected exception in the daemon."""
     return RequestError(
-        "the daemon failed while it handled the request; its log tells why",
+        "internal error in the daemon while it handled the request; see its log",
         Verdict.MAY_HAVE_RUN,
         INTERNAL_SERVER_ERROR,
     )
--- a/src/wagtailstep/network/relay.py
+++ b/src/wagtailstep/network/relay.py
@@ -1,4 +1,4 @@
-"""From one daemon's entry to another's, for requests whose key that one issued."""
+"""Relays requests to the entry of the daemon that issued their idempotency key."""
 
 from datetime import timedelta
 
@@ -21,9 +21,9 @@
 
 
 class HttpRelay:
-    """Pass requests on to the entries of other daemons.
+    """Relay requests to the entries of other daemons.
 
-    :param client: reaches the gate ports of other daemons.
+    :param client: sends requests to the gate ports of other daemons.
     """
 
     def __init__(self, client: HttpClient) -> None:
@@ -34,8 +34,8 @@
     ) -> Answer:
         """Send the request once to the entry behind ``member.gate_address``.
 
-        :return: the answer, with the other entry's verdict.
-        :raises RequestError: if there is no answer.
+        :return: the response, with the other entry's verdict.
+        :raises RequestError: if there is no response.
         """
         request = HttpRequest(
             address=member.gate_address,
@@ -51,7 +51,7 @@
 
 
 def build_relay_headers(headers: Headers, time_left: timedelta) -> Headers:
-    """Return the caller's headers with the time that is left."""
+    """Return the caller's headers with the remaining timeout and the relay mark."""
     time_left_ms = max(1, int(time_left / MILLISECOND))
     return replace_headers(
         pass_on_headers(headers), (TIMEOUT_MS, str(time_left_ms)), (RELAYED, "?1")
--- a/src/wagtailstep/network/request_reader.py
+++ b/src/wagtailstep/network/request_reader.py
@@ -1,4 +1,4 @@
-"""What the entry reads from a caller's request, with the table in force."""
+"""Reading of callers' requests with the table in force."""
 
 import random
 
@@ -21,10 +21,10 @@
 
 
 def check_body_length(incoming: IncomingRequest, max_bytes: int) -> None:
-    """Refuse a request whose body is announced as longer than a limit.
+    """Check the announced length of a request body.
 
-    :param max_bytes: longest size in bytes; 0 for any.
-    :raises BodyTooLargeError: if it is longer.
+    :param max_bytes: the limit; 0 for none.
+    :raises BodyTooLargeError: if the body is longer.
     """
     length = read_number(incoming.headers, "content-length") or 0
     if max_bytes and length > max_bytes:
@@ -32,11 +32,11 @@
 
 
 class RequestReader:
-    """Turn callers' requests into what the fleet knows of them.
+    """Read the heads of callers' requests.
 
-    A request that names no service goes by its host and path.
+    A request that names no service is routed by its host and path.
 
-    :param blackboard: read for the table.
+    :param blackboard: provides the table in force.
     """
 
     def __init__(
@@ -52,28 +52,28 @@
         self.splitter = RouteSplitter(rng)
 
     def read_request_id(self, incoming: IncomingRequest) -> str:
-        """Return the caller's name for its request; empty if callers give none.
+        """Return the caller's identifier of its request, or ``""`` if none is expected.
 
-        :raises BadRequestError: if it is missing and has to be there.
+        :raises BadRequestError: if it is expected and missing or too long.
         """
         if not self.settings.caller_request_ids:
             return ""
         return read_caller_request_id(incoming)
 
     def check_ready(self) -> None:
-        """Refuse requests while the limits of the table are not known.
+        """Check that the table, and so its limits for requests, is known.
 
         :raises NotReadyError: if this daemon has no table yet.
         """
         if not self.blackboard.table_known:
-            raise NotReadyError("this daemon has not read the table yet")
+            raise NotReadyError("this daemon has not read the table yet; retry later")
 
     def read(self, incoming: IncomingRequest, request_id: str) -> RequestContext:
         """Read a request's head.
 
-        :raises NotReadyError: if its route can't be told yet.
-        :raises BadRequestError: if a header is wrong, no route matches, or the body
-            is too long.
+        :raises NotReadyError: if routing it needs the table, which is not known yet.
+        :raises RequestError: if a header is invalid, no route matches, or the body is
+            too long.
         """
         now = self.clock.monotonic()
         table = self.blackboard.table
@@ -82,7 +82,7 @@
         service = find_header(incoming.headers, headers.SERVICE)
         names_service = service is not None and not always_by_host
         if not names_service:
-            # Whether the table has routes by host is not known before it is read.
+            # Only the table tells whether there are routes by host.
             self.check_ready()
         if names_service or not (always_by_host or table.host_routes):
             return interpret_request(incoming, request_id, table, self.settings, now)
--- a/src/wagtailstep/network/sender.py
+++ b/src/wagtailstep/network/sender.py
@@ -1,4 +1,4 @@
-"""Attempts at a request, one after the other, until one answers."""
+"""Sends a request to one target after the other until one responds."""
 
 import asyncio
 import functools
@@ -34,22 +34,23 @@
 FIRST_FAILURE_STATUS = 500
 CALLER_LEFT = "caller-left"
 DEADLINE_GRACE_MS = 20
-# With three quarters of the slots taken, three gates of four slots are rarely full.
+# Three gates with four slots each are rarely all full at a load of three quarters.
 GATES_ASKED_BEFORE_QUEUEING = 3
 ZERO = timedelta()
-# A ratio above this is a count that has just begun.
+# A higher ratio comes from a count that has only begun.
 MAX_CALLS_PER_RUN = 20.0
+# A deadline is short below this multiple of the target's expected latency.
 SHORT_DEADLINE_FACTOR = 4
 DISCOVERY_INTERVAL = timedelta(milliseconds=20)
 
 
 class AttemptSender:
-    """Send requests to targets and send them again where that is allowed.
+    """Send requests to targets and retry them where that is allowed.
 
-    :param routing: picks the targets.
-    :param retries: allows further attempts.
+    :param routing: selects the targets.
+    :param retries: decides whether a further attempt is allowed.
     :param forwarder: sends one attempt.
-    :param dispatch: gives the outcome of each attempt to the controllers.
+    :param dispatch: passes the outcome of each attempt to the controllers.
     """
 
     def __init__(
@@ -70,14 +71,13 @@
         self.refusals = RecentRefusals(clock)
 
     def time_left(self, request: RequestContext) -> timedelta:
-        """Return the time until a request's deadline, not below zero."""
+        """Return the time until a request's deadline, at least zero."""
         return max(timedelta(), request.deadline - self.clock.monotonic())
 
     async def run(self, exchange: Exchange) -> Answer:
-        """Attempt a request until it is answered or may not be sent again.
+        """Send a request until it gets a response or may not be retried.
 
-        :raises RequestError: if no answer can be had; its verdict covers all
-            attempts.
+        :raises RequestError: if it gets no response; its verdict covers all attempts.
         """
         request = exchange.request
         await self.wait_for_discovery(request)
@@ -109,7 +109,7 @@
             self.log_resend(exchange, target, f"status-{answer.status}")
 
     def may_continue(self, exchange: Exchange, error: RequestError) -> bool:
-        """Tell whether another target is tried after an attempt without an answer."""
+        """Return whether to try another target after an attempt without a response."""
         if self.may_resend(exchange, error):
             return True
         if not is_full_gate(error):
@@ -118,7 +118,7 @@
         return self.try_select_last_resort(exchange)
 
     def may_resend(self, exchange: Exchange, error: RequestError) -> bool:
-        """Tell whether a request is sent again after an attempt without an answer."""
+        """Return whether to retry after an attempt without a response."""
         if isinstance(error, AttemptAbandonedError):
             return True
         return exchange.body.replayable and self.retries.take_retry(
@@ -126,11 +126,11 @@
         )
 
     def try_select_last_resort(self, exchange: Exchange) -> bool:
-        """Tell whether a doubted target is tried in place of a refusal.
+        """Select a doubted target before rejecting; return whether there is one.
 
-        A failing server still answers part of its work, which serves more than no
-        answer if a failure can be made good. Others get a refusal, which promises
-        that nothing was run.
+        A failing server still handles some requests, so trying it is better than a
+        rejection if the request can be repeated. Other requests are rejected, which
+        promises that nothing was run.
         """
         request = exchange.request
         if exchange.last_resort is not None:
@@ -146,10 +146,10 @@
         return True
 
     def may_replace(self, exchange: Exchange, answer: Answer) -> bool:
-        """Tell whether a failure that a backend server answered is tried again.
+        """Return whether to retry after an error response of a backend server.
 
-        One that follows from a refused call is not: a second run would call again, at
-        a service that has no room.
+        An error that follows from a rejected call to another service is not retried:
+        the second run would call the same overloaded service again.
         """
         if answer.status < FIRST_FAILURE_STATUS or not exchange.body.replayable:
             return False
@@ -158,7 +158,7 @@
         return self.retries.take_replacement(exchange.request, exchange.sent)
 
     def record_calls(self, route: str, answer: Answer) -> None:
-        """Take what the gate says of the calls that a run makes."""
+        """Record the calls per run of a route, as reported by the gate."""
         text = find_header(answer.headers, CALLS)
         if text is not None:
             self.retries.learn_calls(route, read_calls(text))
@@ -166,7 +166,7 @@
     def log_end(
         self, exchange: Exchange, outcome: str, target: Target | None = None
     ) -> None:
-        """Log how the attempts at a request ended, and what they rested on."""
+        """Log how a request ended and what the decisions on it were based on."""
         request = exchange.request
         log_event(
             LOGGER,
@@ -187,7 +187,7 @@
         )
 
     def log_resend(self, exchange: Exchange, target: Target, reason: str) -> None:
-        """Log that a request goes to one more target."""
+        """Log that a request is sent to another target."""
         log_event(
             LOGGER,
             "request-resent",
@@ -200,16 +200,15 @@
         )
 
     def select_target(self, exchange: Exchange) -> Target:
-        """Pick the target of the next attempt.
+        """Select the target of the next attempt.
 
-        :raises RequestError: if there is no target or no time; its verdict covers
-            all attempts.
+        :raises RequestError: without a target or time; its verdict covers all attempts.
         """
         request = exchange.request
         try:
             if self.time_left(request) <= timedelta():
                 raise DeadlineExceededError(
-                    "the time allowed had passed before the request was sent",
+                    "deadline exceeded before the request was sent",
                     Verdict.NOT_RUN,
                 )
             resort = exchange.last_resort
@@ -225,9 +224,9 @@
             raise
 
     def select_shortest_wait(self, exchange: Exchange) -> Target:
-        """Pick the gate that expected the shortest wait of those that were asked.
+        """Select the target with the shortest expected wait of those asked so far.
 
-        :raises NoTargetError: if all of them have left since.
+        :raises NoTargetError: if they have all left and there is no other target.
         """
         targets = self.blackboard.targets
         known = [name for name in exchange.expected_waits if name in targets]
@@ -236,26 +235,25 @@
         return targets[min(known, key=exchange.expected_waits.__getitem__)]
 
     def may_wait(self, exchange: Exchange, target: Target) -> bool:
-        """Tell whether a request joins the queue of a gate.
+        """Return whether a request may be queued at the gate of a target.
 
-        Before it does, a few gates are asked for a free slot, which one of them has
-        unless nearly all are taken.
+        A few gates are asked first; unless nearly all slots are taken, one is free.
         """
         if self.retries.shared is None or target.target_id in exchange.expected_waits:
             return True
         return len(exchange.expected_waits) >= GATES_ASKED_BEFORE_QUEUEING
 
     async def wait_for_discovery(self, request: RequestContext) -> None:
-        """Give the targets of a service that is new here a moment to get known."""
+        """Wait while the targets of a newly requested service are being discovered."""
         while self.routing.wanted.is_being_discovered(request.service):
             if self.time_left(request) < DISCOVERY_INTERVAL:
                 return
             await asyncio.sleep(DISCOVERY_INTERVAL.total_seconds())
 
     async def attempt(self, exchange: Exchange, target: Target) -> Answer:
-        """Send a request to one target.
+        """Send a request to one target and account for the attempt.
 
-        :raises RequestError: how the attempt ended without an answer.
+        :raises RequestError: if there is no response.
         """
         request = attrs.evolve(
             exchange.request,
@@ -281,10 +279,10 @@
         return self.track_end(answer, attempt, exchange)
 
     def determine_blame(self, error: RequestError, attempt: Attempt) -> Blame:
-        """Return what the failure of an attempt speaks against.
+        """Return the blame for a failed attempt.
 
-        A deadline that a target in good standing would often miss as well is the
-        caller's choice, so that callers in a hurry can't have targets ejected.
+        If the deadline was so short that a healthy target would often miss it too, the
+        caller is to blame. Otherwise, short deadlines could get targets ejected.
         """
         is_late = isinstance(error, DeadlineExceededError)
         if not is_late or error.blame is not Blame.BACKEND_SERVER:
@@ -299,7 +297,7 @@
     async def forward(
         self, exchange: Exchange, target: Target, request: RequestContext
     ) -> Answer:
-        """Send a request to the gate of a target, within its deadline.
+        """Send a request to the gate of a target, within the request's deadline.
 
         :raises RequestError: with the attempt's verdict.
         """
@@ -322,10 +320,11 @@
         except TimeoutError:
             if exchange.abandoned:
                 raise AttemptAbandonedError(
-                    f"{target.target_id} took too long", Verdict.MAY_HAVE_RUN
+                    f"attempt timeout exceeded at {target.target_id}",
+                    Verdict.MAY_HAVE_RUN,
                 ) from None
             raise DeadlineExceededError(
-                "the backend server did not answer within the time allowed",
+                "backend server did not respond before the deadline",
                 Verdict.MAY_HAVE_RUN,
             ) from None
         except RequestError as error:
@@ -343,7 +342,7 @@
         time_left: timedelta,
         timeout: asyncio.Timeout,
     ) -> asyncio.TimerHandle | None:
-        """Have an attempt that takes too long ended before its deadline."""
+        """Start the timer that abandons a slow attempt before the deadline."""
         health = self.blackboard.health.get(target.target_id)
         expected_latency = health.latency if health is not None else None
         attempt_timeout = find_patience(exchange.request, time_left, expected_latency)
@@ -355,10 +354,10 @@
         )
 
     def abandon_attempt(self, exchange: Exchange, timeout: asyncio.Timeout) -> None:
-        """End an attempt that takes too long, if another one may be made.
+        """Abandon an attempt that takes too long, if another one may be made.
 
-        What runs is finished while the daemon shuts down or slots are short: the next
-        attempt may be refused, and then the work was broken off in vain.
+        While the daemon shuts down or slots are short, the next attempt might be
+        rejected and the work be lost, so the attempt is left running.
         """
         service = exchange.request.service
         if self.blackboard.draining or self.refusals.are_recent(service):
@@ -371,7 +370,7 @@
             timeout.reschedule(asyncio.get_running_loop().time())
 
     def track_end(self, answer: Answer, attempt: Attempt, exchange: Exchange) -> Answer:
-        """Return the answer with a body whose end ends the attempt."""
+        """Return the response with a body that ends the attempt at its end."""
 
         def end(verdict: Verdict, error: RequestError | None) -> None:
             attempt.end_with_answer(verdict, error)
@@ -382,12 +381,12 @@
 
 
 def is_full_gate(error: RequestError) -> bool:
-    """Tell whether a gate had no slot for a request, so that no server got it."""
+    """Return whether a gate had no slot, so that no server got the request."""
     return isinstance(error, OverloadedError) and not error.reached_server
 
 
 def read_calls(text: str) -> dict[str, float]:
-    """Read calls per run by service; entries that make no sense are left out."""
+    """Return calls per run by service; malformed entries are skipped."""
     calls: dict[str, float] = {}
     for entry in text.split(","):
         name, _, ratio = entry.partition("=")
--- a/src/wagtailstep/network/service_client.py
+++ b/src/wagtailstep/network/service_client.py
@@ -1,4 +1,4 @@
-"""Calls to a service of the platform, each sent once and answered whole."""
+"""Client for a service of the platform; each request is sent once."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -20,16 +20,16 @@
 from wagtailstep.utils.callbacks import do_nothing
 from wagtailstep.utils.clock import Clock
 
-# Shorter than servers commonly keep an idle connection, so that few calls fail.
+# Below the usual idle timeout of servers, so that few calls hit a closed connection.
 MAX_IDLE_MS = 2_000
 
 
 @attrs.frozen
 class HttpReply:
-    """A whole answer.
+    """A complete response.
 
     :param status: HTTP status code.
-    :param body: the whole body.
+    :param body: the complete body.
     """
 
     status: int
@@ -39,10 +39,10 @@
 class ServiceClient:
     """Call one service over a pool of connections.
 
-    :param name: what errors call the service.
+    :param name: name of the service in error messages.
     :param address: ``host:port`` of the service.
-    :param connect_timeout: time to open a connection.
-    :param clock: ages kept connections.
+    :param connect_timeout: timeout for opening a connection.
+    :param clock: measures how long pooled connections are idle.
     """
 
     def __init__(
@@ -60,9 +60,9 @@
     async def call(
         self, method: str, path: str, body: bytes, timeout: timedelta
     ) -> HttpReply:
-        """Send one request, once; only reads may use an old kept connection.
+        """Send a request once; only a ``GET`` may use a long-idle pooled connection.
 
-        :param timeout: time until the whole answer must have arrived.
+        :param timeout: time within which the complete response must arrive.
         :raises RequestError: ``NOT_RUN`` only if nothing was sent.
         """
         request = HttpRequest(
@@ -88,9 +88,9 @@
         return reply
 
     async def read(self, path: str, timeout: timedelta) -> HttpReply:
-        """Send a ``GET``; any failure means that the service can't be read now.
+        """Send a ``GET``.
 
-        :raises LogUnavailableError: if there was no whole answer in time.
+        :raises LogUnavailableError: if there was no complete response in time.
         """
         try:
             return await self.call("GET", path, b"", timeout)
@@ -100,8 +100,8 @@
     async def append(self, path: str, body: bytes, timeout: timedelta) -> HttpReply:
         """Send a ``POST`` that appends.
 
-        :raises LogUnavailableError: if it certainly had no effect.
-        :raises AppendUnknownError: if it may have taken effect.
+        :raises LogUnavailableError: if the append certainly had no effect.
+        :raises AppendUnknownError: if the append may have taken effect.
         """
         try:
             return await self.call("POST", path, body, timeout)
@@ -109,12 +109,12 @@
             raise build_append_error(error) from error
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the pooled connections."""
         self.client.close()
 
 
 def build_append_error(error: RequestError) -> LogError:
-    """Say what a failed request means for an append."""
+    """Return the error of an append whose request failed."""
     if error.verdict is Verdict.NOT_RUN:
         return LogUnavailableError(f"{error}; the append was not sent")
-    return AppendUnknownError(f"{error}; the append was sent and not answered")
+    return AppendUnknownError(f"{error}; the append was sent, but not acknowledged")
