--- a/src/wagtailstep/network/connection_watch.py
+++ b/src/wagtailstep/network/connection_watch.py
@@ -21,7 +21,7 @@
 from wagtailstep.models.verdict import Verdict
 from wagtailstep.network.http_connection import HttpConnection, HttpRequest
 
-INQUIRY_TIMEOUT = timedelta(milliseconds=500)
+QUERY_TIMEOUT = timedelta(milliseconds=500)
 # Within this time the gate still knows every attempt that has arrived, so "not seen"
 # proves that it was not run. Later the gate may have forgotten it.
 MAX_PROOF_AGE = timedelta(seconds=30)
@@ -87,17 +87,17 @@
 
     async def query_attempt_state(self) -> AttemptState | None:
         """Return the state of the attempt, or ``None`` if the gate can't be queried."""
-        inquiry = HttpRequest(
+        query = HttpRequest(
             address=self.connection.address,
             method="POST",
             path=REVOCATION_PATH + self.request.attempt_id,
             headers=((GATE_ID, self.connection.gate_id),),
             body=None,
             idempotent=False,
-            time_left=INQUIRY_TIMEOUT,
+            time_left=QUERY_TIMEOUT,
         )
         try:
-            answer = await self.send(inquiry)
+            answer = await self.send(query)
             data = b"".join([chunk async for chunk in answer.body])
             return msgspec.json.decode(data, type=AttemptStateAnswer).state
         except (RequestError, msgspec.MsgspecError):
--- a/src/wagtailstep/network/entry_notes.py
+++ b/src/wagtailstep/network/entry_notes.py
@@ -86,5 +86,5 @@
 
 def is_local(peer: str, settings: DaemonSettings) -> bool:
     """Return whether a caller is a process of this instance."""
-    own_host = settings.caller_address.rpartition(":")[0]
-    return peer == own_host or peer.startswith("127.")
+    local_host = settings.caller_address.rpartition(":")[0]
+    return peer == local_host or peer.startswith("127.")
--- a/src/wagtailstep/network/exchanges.py
+++ b/src/wagtailstep/network/exchanges.py
@@ -91,10 +91,10 @@
 
     def include_earlier_attempts(self, error: RequestError) -> None:
         """Extend an error's verdict and status to all attempts before it."""
-        promises = error.verdict is Verdict.NOT_RUN
+        promised_not_run = error.verdict is Verdict.NOT_RUN
         error.verdict = worst_verdict(error.verdict, self.verdict)
         self.verdict = error.verdict
-        if promises and error.verdict is not Verdict.NOT_RUN:
+        if promised_not_run and error.verdict is not Verdict.NOT_RUN:
             # The status of a rejection would promise that nothing was run.
             error.status = HTTPStatus.BAD_GATEWAY
 
--- a/src/wagtailstep/network/interpret.py
+++ b/src/wagtailstep/network/interpret.py
@@ -181,8 +181,8 @@
 
 def build_header_error(name: str, value: str, allowed: str) -> BadRequestError:
     """Return the error for an invalid header value, with what is allowed."""
-    shown = value[:MAX_NAME_LENGTH]
-    return BadRequestError(f"header {name} is {shown!r}; allowed: {allowed}")
+    excerpt = value[:MAX_NAME_LENGTH]
+    return BadRequestError(f"header {name} is {excerpt!r}; allowed: {allowed}")
 
 
 def fingerprint_request(request: RequestContext, body_start: bytes, length: str) -> str:
--- a/src/wagtailstep/network/problems.py
+++ b/src/wagtailstep/network/problems.py
@@ -68,7 +68,7 @@
 
 
 def _build_headers(error: RequestError, request_id: str, length: int) -> Headers:
-    made = [
+    result = [
         ("content-type", CONTENT_TYPE),
         ("content-length", str(length)),
         (headers.VERDICT, error.verdict.value),
@@ -78,10 +78,10 @@
     retry_after = choose_retry_after(error)
     if retry_after is not None:
         seconds = max(1, math.ceil(retry_after.total_seconds()))
-        made.append((headers.RETRY_AFTER, str(seconds)))
+        result.append((headers.RETRY_AFTER, str(seconds)))
         exact_ms = max(0, retry_after // timedelta(milliseconds=1))
-        made.append((headers.RETRY_AFTER_MS, str(exact_ms)))
-    return tuple(made)
+        result.append((headers.RETRY_AFTER_MS, str(exact_ms)))
+    return tuple(result)
 
 
 def choose_retry_after(error: RequestError) -> timedelta | None:
--- a/src/wagtailstep/network/sender.py
+++ b/src/wagtailstep/network/sender.py
@@ -41,7 +41,7 @@
 MAX_CALLS_PER_RUN = 20.0
 # A deadline is short below this multiple of the target's expected latency.
 SHORT_DEADLINE_FACTOR = 4
-DISCOVERY_INTERVAL = timedelta(milliseconds=20)
+DISCOVERY_POLL_INTERVAL = timedelta(milliseconds=20)
 
 
 class AttemptSender:
@@ -211,9 +211,9 @@
                     "deadline exceeded before the request was sent",
                     Verdict.NOT_RUN,
                 )
-            resort = exchange.last_resort
-            if resort is not None and resort.target_id not in exchange.tried:
-                return resort
+            last_resort = exchange.last_resort
+            if last_resort is not None and last_resort.target_id not in exchange.tried:
+                return last_resort
             if len(exchange.expected_waits) >= GATES_ASKED_BEFORE_QUEUEING:
                 return self.select_shortest_wait(exchange)
             may_probe = functools.partial(self.retries.may_fail_once, request)
@@ -246,9 +246,9 @@
     async def wait_for_discovery(self, request: RequestContext) -> None:
         """Wait while the targets of a newly requested service are being discovered."""
         while self.routing.wanted.is_being_discovered(request.service):
-            if self.time_left(request) < DISCOVERY_INTERVAL:
+            if self.time_left(request) < DISCOVERY_POLL_INTERVAL:
                 return
-            await asyncio.sleep(DISCOVERY_INTERVAL.total_seconds())
+            await asyncio.sleep(DISCOVERY_POLL_INTERVAL.total_seconds())
 
     async def attempt(self, exchange: Exchange, target: Target) -> Answer:
         """Send a request to one target and account for the attempt.
