--- a/src/wagtailstep/network/service_client.py
+++ b/src/wagtailstep/network/service_client.py
@@ -88,7 +88,7 @@
         return reply
 
     async def read(self, path: str, timeout: timedelta) -> HttpReply:
-        """Send a ``GET``.
+        """Send a ``GET``; a failure of any kind counts as unavailable.
 
         :raises LogUnavailableError: if there was no complete response in time.
         """
