--- a/src/wagtailstep/network/interpret.py
+++ b/src/wagtailstep/network/interpret.py
@@ -158,9 +158,9 @@
     if value is None:
         return default_ms
     if not (value.isascii() and value.isdigit() and len(value) <= 8):
-        raise build_header_error(name, value, f"an integer from 0 to {MAX_TIMEOUT_MS}")
+        raise build_header_error(name, value, f"a whole number up to {MAX_TIMEOUT_MS}")
     if int(value) > MAX_TIMEOUT_MS:
-        raise build_header_error(name, value, f"an integer from 0 to {MAX_TIMEOUT_MS}")
+        raise build_header_error(name, value, f"a whole number up to {MAX_TIMEOUT_MS}")
     return int(value)
 
 
