--- a/src/wagtailstep/network/entry.py
+++ b/src/wagtailstep/network/entry.py
@@ -1,7 +1,7 @@
-"""The entry: takes callers' requests and brings each to one true outcome.
+"""The entry: handles callers' requests and returns one response for each.
 
-No sockets here: a server adapter calls :meth:`EntryService.handle`, a client adapter
-is the :class:`~wagtailstep.models.exchange.Forwarder` and the
+It opens no sockets: an HTTP server calls :meth:`EntryService.handle`, and requests are
+sent by the :class:`~wagtailstep.models.exchange.Forwarder` and the
 :class:`~wagtailstep.models.exchange.Relay`.
 """
 
@@ -40,16 +40,16 @@
     AnswerStream,
     OnAnswerEnd,
     ReplayableBody,
-    bound_body,
-    chain_body,
-    read_small_body,
+    limit_body,
+    prepend_chunks,
+    read_body_start,
 )
-from wagtailstep.network.entry_notes import EntryNotes
+from wagtailstep.network.entry_notes import EntryReporter
 from wagtailstep.network.exchanges import Exchange
-from wagtailstep.network.interpret import digest_request
+from wagtailstep.network.interpret import fingerprint_request
 from wagtailstep.network.problems import (
-    describe_error,
-    make_internal_error,
+    build_error_answer,
+    build_internal_error,
     yield_body,
 )
 from wagtailstep.network.request_reader import RequestReader
@@ -67,12 +67,13 @@
     """Handle callers' requests at one daemon.
 
     :param routing: the daemon's routing controller.
-    :param guard: the daemon's duplicate guard.
+    :param guard: decides whether requests with an idempotency key may run.
     :param forwarder: sends attempts to gates.
-    :param relay: passes keyed requests to other entries.
-    :param dispatch: gives an event to all controllers and applies their effects.
-    :param apply: applies effects that the guard returned; it gives each
-        :class:`~wagtailstep.models.idempotency.RequestDecided` to :meth:`settle`.
+    :param relay: sends requests with an idempotency key to other daemons' entries.
+    :param dispatch: passes an event to all controllers and applies their effects.
+    :param apply: applies effects that the guard returned; it passes each
+        :class:`~wagtailstep.models.idempotency.RequestDecided` to
+        :meth:`deliver_decision`.
     """
 
     def __init__(
@@ -101,36 +102,35 @@
         self.sender = AttemptSender(
             blackboard, clock, routing, retries, forwarder, dispatch
         )
-        self.notes = EntryNotes(settings, blackboard, clock, dispatch)
-        self.undecided: dict[str, asyncio.Future[Decision]] = {}
+        self.reporter = EntryReporter(settings, blackboard, clock, dispatch)
+        self.pending_decisions: dict[str, asyncio.Future[Decision]] = {}
 
     async def handle(self, incoming: IncomingRequest) -> Answer:
-        """Bring one request to its end.
+        """Handle one request; failures become problem documents.
 
-        :return: the answer; its body must be read or it must be closed, and it
-            must be closed in the end.
+        :return: the response; the receiver may read its body and must close it.
         """
         request_id = make_id(self.rng)
         request: RequestContext | None = None
         started_at = self.clock.monotonic()
         outcome = CALLER_LEFT
         try:
-            request_id = self.reader.find_request_id(incoming) or request_id
+            request_id = self.reader.read_request_id(incoming) or request_id
             request = self.reader.read(incoming, request_id)
-            self.notes.take_request(incoming, request)
+            self.reporter.record_request(incoming, request)
             answer = await self.serve(request, incoming)
             outcome = f"status-{answer.status}"
         except RequestError as error:
             outcome = error.reason
-            self.notes.take_failure(incoming, request_id, error)
-            return describe_error(error, request_id)
+            self.reporter.record_failure(incoming, request_id, error)
+            return build_error_answer(error, request_id)
         except Exception:
             outcome = INTERNAL_ERROR
             _LOGGER.exception("event=request-failed request_id=%s", request_id)
-            return describe_error(make_internal_error(), request_id)
+            return build_error_answer(build_internal_error(), request_id)
         finally:
-            self.notes.take_end(request, outcome, started_at)
-        self.notes.take_answer(incoming, answer.status)
+            self.reporter.record_end(request, outcome, started_at)
+        self.reporter.record_answer(incoming, answer.status)
         answer.headers = replace_headers(
             remove_headers(answer.headers, headers.GATE_ANSWER_HEADERS),
             (headers.VERDICT, answer.verdict.value),
@@ -145,28 +145,28 @@
         """
         return str(self.guard.tickets.issue(service))
 
-    def settle(self, effect: RequestDecided) -> None:
-        """Take the decision about a request that waits for one."""
-        future = self.undecided.pop(effect.request_id, None)
+    def deliver_decision(self, effect: RequestDecided) -> None:
+        """Pass the guard's decision to the request that waits for it."""
+        future = self.pending_decisions.pop(effect.request_id, None)
         if future is not None and not future.done():
             future.set_result(effect.decision)
         else:
-            self.decline(effect.decision)
+            self.release_run(effect.decision)
 
     async def serve(self, request: RequestContext, incoming: IncomingRequest) -> Answer:
-        """Admit a request and bring it to its end.
+        """Check that a request may be admitted, then serve it.
 
-        :raises RequestError: if no answer can be had.
+        :raises RequestError: if the request gets no response.
         """
         limit = self.settings.requests.replay_body_bytes
-        # The length that a head announces was checked when it was read.
-        source = bound_body(incoming.body, self.blackboard.table.max_body_bytes)
+        # A Content-Length was checked with the head; this covers chunked bodies.
+        source = limit_body(incoming.body, self.blackboard.table.max_body_bytes)
         body = ReplayableBody(source, limit)
         try:
             self.reader.check_ready()
             self.routing.admit(request)
         except RequestError as error:
-            raise self.limit_claim(request, error) from error
+            raise self.downgrade_unproven_not_run(request, error) from error
         exchange = Exchange(request, incoming, body, self.routing)
         try:
             return await self.serve_admitted(exchange)
@@ -175,17 +175,19 @@
             raise
 
     async def serve_admitted(self, exchange: Exchange) -> Answer:
-        """Run a request, or have its guard say what to do with it."""
+        """Send a request, or first ask the guard if it has an idempotency key."""
         if exchange.request.needs_duplicate_guard:
             return await self.serve_guarded(exchange)
         if exchange.has_small_body:
             await self.within_deadline(exchange, exchange.body.prefetch())
         return await self.sender.run(exchange)
 
-    def limit_claim(self, request: RequestContext, error: RequestError) -> RequestError:
-        """Take back a ``NOT_RUN`` that is only true of this sending.
+    def downgrade_unproven_not_run(
+        self, request: RequestContext, error: RequestError
+    ) -> RequestError:
+        """Replace ``NOT_RUN`` if it only holds for this copy of a request.
 
-        An earlier sending under the same key may have run at another daemon.
+        An earlier copy with the same key may have run at another daemon.
 
         :return: the error, its verdict changed if needed.
         """
@@ -199,28 +201,28 @@
         return error
 
     async def serve_guarded(self, exchange: Exchange) -> Answer:
-        """Do what the guard decides about a request.
+        """Serve a request with an idempotency key as the guard decides.
 
-        :raises RequestError: if no answer can be had.
+        :raises RequestError: if the request gets no response.
         """
         request = exchange.request
         body_start = await self.within_deadline(exchange, exchange.body.prefetch())
         length = find_header(exchange.incoming.headers, "content-length") or ""
-        fingerprint = digest_request(request, body_start, length)
+        fingerprint = fingerprint_request(request, body_start, length)
         outcome = self.guard.decide_request(request, fingerprint)
         decision = outcome.decision
         if isinstance(decision, Wait):
             decision = await self.wait_for_decision(request, outcome.effects)
         else:
             self.apply(list(outcome.effects))
-        return await self.follow(decision, exchange)
+        return await self.execute_decision(decision, exchange)
 
     async def within_deadline(
         self, exchange: Exchange, reading: Awaitable[bytes]
     ) -> bytes:
-        """Await the reading of the caller's body until the deadline.
+        """Await a read of the request body until the request's deadline.
 
-        :raises RequestError: if the caller cut the body or was too slow.
+        :raises RequestError: if the caller aborted the body or was too slow.
         """
         request = exchange.request
         try:
@@ -228,21 +230,21 @@
                 return await reading
         except TimeoutError:
             error = DeadlineExceededError(
-                "the request body did not arrive within the time allowed; send it "
-                "again with more time",
+                "request body did not arrive before the deadline; send the request "
+                "again with a longer timeout",
                 Verdict.NOT_RUN,
             )
-            raise self.limit_claim(request, error) from None
+            raise self.downgrade_unproven_not_run(request, error) from None
 
     async def wait_for_decision(
         self, request: RequestContext, effects: tuple[Any, ...]
     ) -> Decision:
-        """Wait until :meth:`settle` brings the guard's decision.
+        """Wait until :meth:`deliver_decision` passes on the guard's decision.
 
         :raises RequestError: if the deadline passes first.
         """
         future = asyncio.get_running_loop().create_future()
-        self.undecided[request.request_id] = future
+        self.pending_decisions[request.request_id] = future
         self.apply(list(effects))
         decision = None
         try:
@@ -251,66 +253,68 @@
             return decision
         except TimeoutError:
             error = DeadlineExceededError(
-                "the time allowed passed before it was decided who runs the request; "
-                "send it again with the same key",
+                "deadline exceeded before the duplicate check of the idempotency key "
+                "finished; send the request again with the same key",
                 Verdict.NOT_RUN,
             )
-            raise self.limit_claim(request, error) from None
+            raise self.downgrade_unproven_not_run(request, error) from None
         finally:
             if decision is None:
-                self.give_up_waiting(request, future)
+                self.cancel_wait(request, future)
 
-    def give_up_waiting(
+    def cancel_wait(
         self, request: RequestContext, future: asyncio.Future[Decision]
     ) -> None:
-        """Tell the guard that nobody waits for a decision any more.
+        """Withdraw a request from the guard, or decline what it has just decided.
 
-        The decision may have come in the same step as the cancellation.
+        The decision may arrive in the same event loop step as the cancellation.
         """
-        if self.undecided.pop(request.request_id, None) is not None:
+        if self.pending_decisions.pop(request.request_id, None) is not None:
             self.guard.cancel_wait(request)
         elif future.done() and not future.cancelled():
-            self.decline(future.result())
+            self.release_run(future.result())
 
-    def decline(self, decision: Decision) -> None:
-        """Give back the right to run a request that nobody waits for."""
+    def release_run(self, decision: Decision) -> None:
+        """Release the permission to run a request that is not waited for any more."""
         if isinstance(decision, RunLocally):
             self.apply(self.guard.finish_run(decision.run_id, Verdict.NOT_RUN))
 
     @singledispatchmethod
-    async def follow(self, decision: Decision, exchange: Exchange) -> Answer:
-        """Do what the guard decided.
+    async def execute_decision(self, decision: Decision, exchange: Exchange) -> Answer:
+        """Carry out the guard's decision about a request.
 
-        :raises RequestError: if no answer can be had.
+        :raises RequestError: if the request gets no response.
         """
-        raise TypeError(f"not a decision: {decision!r}")
+        raise TypeError(f"unknown decision of the duplicate guard: {decision!r}")
 
-    @follow.register
+    @execute_decision.register
     async def _(self, decision: Refuse, exchange: Exchange) -> Answer:
         raise decision.error
 
-    @follow.register
+    @execute_decision.register
     async def _(self, decision: Replay, exchange: Exchange) -> Answer:
         exchange.release()
         stored = decision.answer
         body = yield_body(stored.body)
         return Answer(stored.status, stored.headers, body, Verdict.RUN)
 
-    @follow.register
+    @execute_decision.register
     async def _(self, decision: RelayToDaemon, exchange: Exchange) -> Answer:
         member = self.blackboard.members.get(decision.daemon_id)
         if member is None:
-            raise build_unknown_outcome_error("the daemon that may run it is gone")
-        answer = await self.pass_on(exchange, member)
-        return self.track(answer, lambda verdict, _: exchange.release())
+            raise build_unknown_outcome_error(
+                "the daemon that may run it is no longer a known member"
+            )
+        answer = await self.relay_request(exchange, member)
+        return self.track_end(answer, lambda verdict, _: exchange.release())
 
-    @follow.register
+    @execute_decision.register
     async def _(self, decision: RunLocally, exchange: Exchange) -> Answer:
         exchange.on_end = lambda verdict, answer: self.apply(
             self.guard.finish_run(decision.run_id, verdict, answer)
         )
         try:
-            return await self.keep_answer(await self.sender.run(exchange), exchange)
+            return await self.buffer_answer(await self.sender.run(exchange), exchange)
         except RequestError as error:
             exchange.end(error.verdict)
             raise
@@ -318,41 +322,43 @@
             exchange.end(exchange.verdict_if_cancelled)
             raise
 
-    async def pass_on(self, exchange: Exchange, member: Member) -> Answer:
-        """Have another daemon serve a keyed request.
+    async def relay_request(self, exchange: Exchange, member: Member) -> Answer:
+        """Have another daemon serve a request with an idempotency key.
 
-        It may be sent again: the other daemon recognises the key.
+        A retry is safe, since the other daemon recognises the key.
 
-        :raises RequestError: ``MAY_HAVE_RUN`` if there is no answer.
+        :raises RequestError: ``MAY_HAVE_RUN`` if there is no response.
         """
         attempts_left = MAX_RELAY_ATTEMPTS
         while True:
             attempts_left -= 1
             try:
-                return await self.pass_on_once(exchange, member)
+                return await self.relay_once(exchange, member)
             except (RequestError, TimeoutError) as error:
                 if attempts_left == 0 or not exchange.body.replayable:
                     raise build_unknown_outcome_error(
-                        f"daemon {member.daemon_id} may know, but can't be reached"
+                        f"daemon {member.daemon_id} may have run it but is unreachable"
                     ) from error
 
-    async def pass_on_once(self, exchange: Exchange, member: Member) -> Answer:
-        """Send a keyed request to another daemon, within its deadline.
+    async def relay_once(self, exchange: Exchange, member: Member) -> Answer:
+        """Relay a request to another daemon once.
 
-        :raises RequestError: if there is no answer.
-        :raises TimeoutError: if there is none in time.
+        :raises RequestError: if there is no response.
+        :raises TimeoutError: if there is none before the deadline.
         """
         time_left = self.sender.time_left(exchange.request)
-        incoming = self.make_relayed(exchange, time_left)
+        incoming = self.build_relayed_request(exchange, time_left)
         async with asyncio.timeout(time_left.total_seconds()):
             return await self.relay.relay(member, incoming, time_left)
 
-    def make_relayed(self, exchange: Exchange, left: timedelta) -> IncomingRequest:
-        """Return the request as the other daemon's entry gets it."""
-        left_ms = max(1, int(left.total_seconds() * 1_000))
+    def build_relayed_request(
+        self, exchange: Exchange, time_left: timedelta
+    ) -> IncomingRequest:
+        """Return the request as it is sent to the other daemon's entry."""
+        time_left_ms = max(1, int(time_left.total_seconds() * 1_000))
         marked = replace_headers(
             exchange.incoming.headers,
-            (headers.TIMEOUT_MS, str(left_ms)),
+            (headers.TIMEOUT_MS, str(time_left_ms)),
             (headers.RELAYED, self.settings.daemon_id),
         )
         incoming = exchange.incoming
@@ -360,26 +366,28 @@
             incoming.method, incoming.path, marked, exchange.body.open()
         )
 
-    async def keep_answer(self, answer: Answer, exchange: Exchange) -> Answer:
-        """Read a small answer whole, so that a resend can get it too.
+    async def buffer_answer(self, answer: Answer, exchange: Exchange) -> Answer:
+        """Buffer a small response, so that a resend of the request can get it too.
+
+        A response above the size limit is streamed and not stored.
 
-        :raises RequestError: if the answer breaks off early.
+        :raises RequestError: if the response is truncated.
         """
         limit = self.settings.requests.answer_bytes
         try:
-            chunks, whole = await read_small_body(answer.body, limit)
+            chunks, complete = await read_body_start(answer.body, limit)
         except BaseException:
             await answer.close()
             raise
-        if whole:
+        if complete:
             data = b"".join(chunks)
             stored = StoredAnswer(answer.status, answer.headers, data)
             await answer.close()
             exchange.end(Verdict.RUN, stored)
             return Answer(answer.status, answer.headers, yield_body(data), Verdict.RUN)
-        answer.body = chain_body(chunks, answer.body)
-        return self.track(answer, lambda verdict, _: exchange.end(verdict))
+        answer.body = prepend_chunks(chunks, answer.body)
+        return self.track_end(answer, lambda verdict, _: exchange.end(verdict))
 
-    def track(self, answer: Answer, on_end: OnAnswerEnd) -> Answer:
-        """Return the answer with a body whose end is told to ``on_end``."""
-        return AnswerStream(answer, on_end).make_answer()
+    def track_end(self, answer: Answer, on_end: OnAnswerEnd) -> Answer:
+        """Return the response with a body that calls ``on_end`` at its end."""
+        return AnswerStream(answer, on_end).build_answer()
--- a/src/wagtailstep/network/problems.py
+++ b/src/wagtailstep/network/problems.py
@@ -1,4 +1,4 @@
-"""Answers that wagtailstep makes itself, as ``application/problem+json``."""
+"""Error responses of wagtailstep itself, as ``application/problem+json``."""
 
 import math
 from collections.abc import AsyncIterator
@@ -20,10 +20,10 @@
 
 @attrs.frozen
 class Problem:
-    """A body after RFC 9457.
+    """A problem document according to RFC 9457.
 
-    :param type: kind of problem, as a relative URI.
-    :param title: short name of the kind.
+    :param type: type of the problem, as a relative URI.
+    :param title: short name of the type.
     :param status: HTTP status code.
     :param detail: what happened and what to do about it.
     :param verdict: whether a backend server may have run the request.
@@ -39,16 +39,16 @@
 
 
 async def yield_body(data: bytes) -> AsyncIterator[bytes]:
-    """Yield a whole body as one chunk, or nothing if it is empty."""
+    """Yield a complete body as one chunk, or nothing if it is empty."""
     if data:
         yield data
 
 
-def describe_error(error: RequestError, request_id: str = "") -> Answer:
-    """Make the answer for a request that ended without one.
+def build_error_answer(error: RequestError, request_id: str = "") -> Answer:
+    """Return the error response for a failed request.
 
-    :param error: how the request ended.
-    :param request_id: identifier of the request, if it has one yet.
+    :param error: how the request failed.
+    :param request_id: identifier of the request, or ``""`` if it has none yet.
     """
     problem = Problem(
         type=f"/problems/{error.reason}",
@@ -61,31 +61,31 @@
     body = msgspec.json.encode(problem)
     return Answer(
         status=error.status,
-        headers=_make_headers(error, request_id, len(body)),
+        headers=_build_headers(error, request_id, len(body)),
         body=yield_body(body),
         verdict=error.verdict,
     )
 
 
-def _make_headers(error: RequestError, request_id: str, length: int) -> Headers:
-    made = [
+def _build_headers(error: RequestError, request_id: str, length: int) -> Headers:
+    result = [
         ("content-type", CONTENT_TYPE),
         ("content-length", str(length)),
         (headers.VERDICT, error.verdict.value),
         (headers.REASON, error.reason),
         (headers.REQUEST_ID, request_id),
     ]
-    retry_after = find_retry_after(error)
+    retry_after = choose_retry_after(error)
     if retry_after is not None:
         seconds = max(1, math.ceil(retry_after.total_seconds()))
-        made.append((headers.RETRY_AFTER, str(seconds)))
+        result.append((headers.RETRY_AFTER, str(seconds)))
         exact_ms = max(0, retry_after // timedelta(milliseconds=1))
-        made.append((headers.RETRY_AFTER_MS, str(exact_ms)))
-    return tuple(made)
+        result.append((headers.RETRY_AFTER_MS, str(exact_ms)))
+    return tuple(result)
 
 
-def find_retry_after(error: RequestError) -> timedelta | None:
-    """Return when the caller may come back; a refusal always says so."""
+def choose_retry_after(error: RequestError) -> timedelta | None:
+    """Return after which time the caller may retry; a rejection always has one."""
     if error.retry_after is not None:
         return error.retry_after
     refused = error.verdict is Verdict.NOT_RUN
@@ -94,10 +94,10 @@
     return None
 
 
-def make_internal_error() -> RequestError:
-    """Make the error for a fault of the daemon itself."""
+def build_internal_error() -> RequestError:
+    """Return the error for an unexpected exception in the daemon."""
     return RequestError(
-        "the daemon failed while it handled the request; its log tells why",
+        "internal error in the daemon while it handled the request; see its log",
         Verdict.MAY_HAVE_RUN,
         INTERNAL_SERVER_ERROR,
     )
