--- a/src/wagtailstep/network/problems.py
+++ b/src/wagtailstep/network/problems.py
@@ -85,7 +85,7 @@
 
 
 def choose_retry_after(error: RequestError) -> timedelta | None:
-    """Return after which time the caller may retry; a rejection always has one."""
+    """Return after which time the caller may retry; a 5xx rejection always has one."""
     if error.retry_after is not None:
         return error.retry_after
     refused = error.verdict is Verdict.NOT_RUN
