--- a/src/wagtailstep/controllers/ejection.py
+++ b/src/wagtailstep/controllers/ejection.py
@@ -274,7 +274,9 @@
             return "restarted"
         if lease.expires_at <= now:
             return "lapsed"
-        limit = MAX_HOLD_FACTOR * compute_backoff(ejection.counts, BASE_EJECTION_S)
+        limit = MAX_HOLD_FACTOR * compute_backoff(
+            ejection.consecutive_ejections, BASE_EJECTION_S
+        )
         if now - lease.first_read_at > limit:
             return "held-longest"
         return ""
@@ -290,9 +292,11 @@
         effects: list[Any] = []
         if now >= lease.renew_at:
             lease.renew_at = now + timedelta(seconds=CLAIM_RETRY_S)
-            reason, strikes = "renewal", ejection.counts
+            reason, strikes = "renewal", ejection.consecutive_ejections
             effects += self.claim(state, ejection.target_id, reason, strikes)
-        end = lease.first_read_at + compute_backoff(ejection.counts, BASE_EJECTION_S)
+        end = lease.first_read_at + compute_backoff(
+            ejection.consecutive_ejections, BASE_EJECTION_S
+        )
         if now >= end and now >= lease.next_probe_at:
             lease.next_probe_at = now + timedelta(seconds=PROBE_INTERVAL_S)
             timeout = timedelta(milliseconds=PROBE_TIMEOUT_MS)
