--- a/src/wagtailstep/controllers/dissemination.py
+++ b/src/wagtailstep/controllers/dissemination.py
@@ -33,8 +33,7 @@
 
 DIGEST_ROUNDS_PER_RENEWAL = 3
 LOCAL_UPDATE_FANOUT = 8
-# Changes are sent directly, one message for each peer, to fewer peers than this.
-DIRECT_FANOUT = 32
+DIRECT_FANOUT = 32  # Changes go directly, one message a peer, to fewer peers than this.
 FORWARD_FANOUT = 4
 PULLS_PER_TICK = 10
 REFRESH_LEASE_FRACTION = 0.65
@@ -45,10 +44,9 @@
 class DisseminationController:
     """Send a service's targets to the daemons that serve or request it only.
 
-    A daemon makes a heartbeat every ``renew_ms``. Heartbeats are sent as rows of
-    digests, relayed a few times by each receiver, and carry their age, so that a
-    lease ends at the same time everywhere. Targets themselves are sent when they
-    change, and pulled when a heartbeat carries a version that is not held.
+    A daemon's heartbeats, made every ``renew_ms``, are rows of digests. Each receiver
+    relays them a few times with their age, so that a lease ends everywhere at one time.
+    Targets are sent when they change, and pulled if a heartbeat's version is not held.
     """
 
     def __init__(
@@ -77,8 +75,7 @@
         self.renew_at = self.started_at + timedelta(milliseconds=first_ms)
         self.next_digest_at = timedelta()
         self.pulls = PullSchedule()
-        # Cached, as looking up a single-dispatch method costs more than a call.
-        self.receive = self._receive
+        self.receive = self._receive  # Cached: dispatch look-up costs more than a call.
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
@@ -232,8 +229,7 @@
         self.version = self.heartbeat & VERSION_MASK
         self.digests.add(board.this_member.daemon_id, services)
         interested = self.interest.choose_interested(services, DIRECT_FANOUT, self.rng)
-        # Forwarding delivers several copies to each peer, which only pays off for a
-        # larger number of peers; otherwise each one gets the update directly.
+        # Forwarding sends several copies to each peer: it only pays off for many peers.
         needs_forwarding = len(interested) == DIRECT_FANOUT
         peers = interested[:LOCAL_UPDATE_FANOUT] if needs_forwarding else interested
         effects = []
@@ -364,20 +360,18 @@
 
     def _request_digests(self, stale: list[str]) -> list[Any]:
         effects: list[Any] = []
-        via_peers = [name for name in stale if not self.pulls.asks_owner(name)]
+        relayed = [name for name in stale if not self.pulls.asks_owner(name)]
         for daemon_id in stale:
-            if daemon_id not in via_peers:
+            if daemon_id not in relayed:
                 owner = self.blackboard.members.get(daemon_id)
                 effects += self._request_digest(owner, [daemon_id])
-        while via_peers:
-            peer = self._choose_peer(via_peers[0])
+        while relayed:
+            peer = self._choose_peer(relayed[0])
             services = frozenset(peer.services if peer else ())
-            batch = [
-                n for n in via_peers if services & self.interest.needed_by_member[n]
-            ]
-            batch = batch or via_peers[:1]
+            batch = [n for n in relayed if services & self.interest.needed_by_member[n]]
+            batch = batch or relayed[:1]
             effects += self._request_digest(peer, batch)
-            via_peers = [name for name in via_peers if name not in batch]
+            relayed = [name for name in relayed if name not in batch]
         return effects
 
     def _request_digest(self, peer: Member | None, names: list[str]) -> list[Any]:
@@ -391,11 +385,7 @@
 def _build_entries(
     targets: tuple[Target, ...], services: frozenset[str]
 ) -> tuple[TargetEntry, ...]:
-    return tuple(
-        TargetEntry.from_target(target)
-        for target in targets
-        if target.service in services
-    )
+    return tuple(TargetEntry.from_target(t) for t in targets if t.service in services)
 
 
 def _age_units(age: timedelta) -> int:
--- a/src/wagtailstep/controllers/ejection.py
+++ b/src/wagtailstep/controllers/ejection.py
@@ -1,9 +1,8 @@
 """Eject targets for the whole fleet without going below the floor.
 
-A claim is appended to the log stream of the service; the deterministic fold of that
-stream accepts or refuses it. A daemon applies an accepted ejection only while it is
-known to be up to date with the stream, while the claim is renewed, and as far as
-the floor holds in its own view.
+A claim is appended to the service's log stream, whose deterministic fold accepts or
+refuses it. A daemon applies an accepted ejection only while known to be up to date
+with the stream, while the claim is renewed, and as far as the floor holds in its view.
 """
 
 import random
@@ -53,17 +52,14 @@
 from wagtailstep.utils.codec import decode_message
 from wagtailstep.utils.ids import make_id
 
-# An ejection lapses unless its claimant renews it within the lease.
-LEASE_S = 30.0
+LEASE_S = 30.0  # An ejection lapses unless its claimant renews it within the lease.
 RENEW_INTERVAL_S = 10.0
-# An ejection ends at the latest after this many times its planned duration.
-MAX_HOLD_FACTOR = 4
+MAX_HOLD_RATIO = 4  # An ejection ends after at most its planned duration times this.
 CLAIM_JITTER_S = 0.2
 CLAIM_RETRY_S = 2.0
 RETURN_JITTER_S = 2.0
 RETURN_RETRY_S = 3.0
-# Planned duration of a first ejection.
-BASE_EJECTION_S = 10.0
+BASE_S = 10.0  # Planned duration of a first ejection.
 
 
 class EjectionController:
@@ -102,7 +98,7 @@
         now = self.clock.monotonic()
         effects = []
         for record in event.records:
-            effects += self.apply_record(state, record, now)
+            effects += self.apply(state, record, now)
         state.record_read_position(now)
         self.write_ejected()
         return effects
@@ -171,9 +167,7 @@
         """Return whether this daemon is the claimant of an ejection."""
         return ejection.claimant == self.blackboard.this_member.daemon_id
 
-    def apply_record(
-        self, state: StreamState, record: LogRecord, now: timedelta
-    ) -> list[Any]:
+    def apply(self, state: StreamState, record: LogRecord, now: timedelta) -> list[Any]:
         """Apply one record to the fold and update leases and ejection counts."""
         try:
             message = decode_message(record.data)
@@ -261,11 +255,7 @@
         return effects
 
     def get_return_reason(
-        self,
-        ejection: Ejection,
-        lease: EjectionLease,
-        forced: set[str],
-        now: timedelta,
+        self, ejection: Ejection, lease: EjectionLease, forced: set[str], now: timedelta
     ) -> str:
         """Return why an ejection has to end, or an empty string."""
         if ejection.target_id in forced:
@@ -274,9 +264,7 @@
             return "restarted"
         if lease.expires_at <= now:
             return "lapsed"
-        limit = MAX_HOLD_FACTOR * compute_backoff(
-            ejection.consecutive_ejections, BASE_EJECTION_S
-        )
+        limit = MAX_HOLD_RATIO * compute_backoff(ejection.consecutive_ejections, BASE_S)
         if now - lease.first_read_at > limit:
             return "held-longest"
         return ""
@@ -284,7 +272,7 @@
     def update_local_ejection(
         self,
         state: StreamState,
-        ejection: Ejection,
+        local: Ejection,
         lease: EjectionLease,
         now: timedelta,
     ) -> list[Any]:
@@ -292,15 +280,13 @@
         effects: list[Any] = []
         if now >= lease.renew_at:
             lease.renew_at = now + timedelta(seconds=CLAIM_RETRY_S)
-            reason, strikes = "renewal", ejection.consecutive_ejections
-            effects += self.claim(state, ejection.target_id, reason, strikes)
-        end = lease.first_read_at + compute_backoff(
-            ejection.consecutive_ejections, BASE_EJECTION_S
-        )
+            reason, strikes = "renewal", local.consecutive_ejections
+            effects += self.claim(state, local.target_id, reason, strikes)
+        end = lease.first_read_at + compute_backoff(local.consecutive_ejections, BASE_S)
         if now >= end and now >= lease.next_probe_at:
             lease.next_probe_at = now + timedelta(seconds=PROBE_INTERVAL_S)
             timeout = timedelta(milliseconds=PROBE_TIMEOUT_MS)
-            effects.append(ProbeTarget(ejection.target_id, timeout))
+            effects.append(ProbeTarget(local.target_id, timeout))
         return effects
 
     def claim_candidates(self, state: StreamState, now: timedelta) -> list[Any]:
--- a/src/wagtailstep/network/sender.py
+++ b/src/wagtailstep/network/sender.py
@@ -37,13 +37,10 @@
 FIRST_FAILURE_STATUS = 500
 CALLER_LEFT = "caller-left"
 DEADLINE_GRACE_MS = 20
-# Three gates with four slots each are rarely all full at a load of three quarters.
-GATES_ASKED_BEFORE_QUEUEING = 3
+GATES_BEFORE_QUEUEING = 3  # Rarely all full, at four slots each and a load of 3/4.
 ZERO = timedelta()
-# A higher ratio comes from a count that has only begun.
-MAX_CALLS_PER_RUN = 20.0
-# A deadline is short below this multiple of the target's expected latency.
-SHORT_DEADLINE_FACTOR = 4
+MAX_CALLS_PER_RUN = 20.0  # A higher ratio comes from a count that has only begun.
+SHORT_DEADLINE_FACTOR = 4  # Short: below the target's expected latency times this.
 DISCOVERY_POLL_INTERVAL = timedelta(milliseconds=20)
 
 
@@ -90,18 +87,16 @@
             exchange.attempts += 1
             try:
                 answer = await self.attempt(exchange, target)
-            except RequestError as error:
-                exchange.sent += error.may_have_been_received
-                exchange.include_earlier_attempts(error)
-                if is_full_gate(error):
-                    exchange.expected_waits[target.target_id] = (
-                        error.retry_after or ZERO
-                    )
-                if not self.may_continue(exchange, error):
-                    self.log_end(exchange, error.reason)
+            except RequestError as exc:
+                exchange.sent += exc.may_have_been_received
+                exchange.include_earlier_attempts(exc)
+                if is_full_gate(exc):
+                    exchange.expected_waits[target.target_id] = exc.retry_after or ZERO
+                if not self.may_continue(exchange, exc):
+                    self.log_end(exchange, exc.reason)
                     raise
-                if not is_full_gate(error):
-                    self.log_resend(exchange, target, error.reason)
+                if not is_full_gate(exc):
+                    self.log_resend(exchange, target, exc.reason)
                 continue
             exchange.sent += 1
             self.record_calls(request.route, answer)
@@ -131,9 +126,8 @@
     def try_select_last_resort(self, exchange: Exchange) -> bool:
         """Select a doubted target before rejecting; return whether there is one.
 
-        A failing server still handles some requests, so trying it is better than a
-        rejection if the request can be repeated. Other requests are rejected, which
-        promises that nothing was run.
+        A failing server still handles some requests: for repeatable ones that is better
+        than a rejection. Others are rejected, which promises that nothing was run.
         """
         request = exchange.request
         if exchange.last_resort is not None:
@@ -219,7 +213,7 @@
             last_resort = exchange.last_resort
             if last_resort is not None and last_resort.target_id not in exchange.tried:
                 return last_resort
-            if len(exchange.expected_waits) >= GATES_ASKED_BEFORE_QUEUEING:
+            if len(exchange.expected_waits) >= GATES_BEFORE_QUEUEING:
                 return self.select_shortest_wait(exchange)
             may_probe = functools.partial(self.retries.can_retry_failure, request)
             return self.routing.pick(request.service, exchange.tried, may_probe)
@@ -240,16 +234,13 @@
         return targets[min(known, key=exchange.expected_waits.__getitem__)]
 
     def may_wait(self, exchange: Exchange, target: Target) -> bool:
-        """Return whether a request may be queued at the gate of a target.
-
-        A few gates are asked first; unless nearly all slots are taken, one is free.
-        """
+        """Return whether a request may be queued at a gate; a few are asked first."""
         if (
             self.retries.shared_budget is None
             or target.target_id in exchange.expected_waits
         ):
             return True
-        return len(exchange.expected_waits) >= GATES_ASKED_BEFORE_QUEUEING
+        return len(exchange.expected_waits) >= GATES_BEFORE_QUEUEING
 
     async def wait_for_discovery(self, request: RequestContext) -> None:
         """Wait while the targets of a newly requested service are being discovered."""
@@ -287,10 +278,9 @@
         return self.track_end(answer, attempt, exchange)
 
     def determine_blame(self, error: RequestError, attempt: Attempt) -> Blame:
-        """Return the blame for a failed attempt.
+        """Return the blame for a failed attempt: the caller's after a short deadline.
 
-        If the deadline was so short that a healthy target would often miss it too, the
-        caller is to blame. Otherwise, short deadlines could get targets ejected.
+        Healthy targets would often miss it too and could get ejected otherwise.
         """
         is_late = isinstance(error, DeadlineExceededError)
         if not is_late or error.blame is not Blame.BACKEND_SERVER:
@@ -310,20 +300,16 @@
         :raises RequestError: with the attempt's verdict.
         """
         gate = self.blackboard.members[target.daemon_id]
-        time_left = self.time_left(exchange.request)
+        left = self.time_left(exchange.request)
         grace = timedelta(milliseconds=DEADLINE_GRACE_MS)
         exchange.attempt_in_progress = True
         exchange.abandoned = False
         timer: asyncio.TimerHandle | None = None
         try:
-            async with asyncio.timeout((time_left + grace).total_seconds()) as timeout:
-                timer = self.start_attempt_timeout(exchange, target, time_left, timeout)
+            async with asyncio.timeout((left + grace).total_seconds()) as timeout:
+                timer = self.start_attempt_timeout(exchange, target, left, timeout)
                 answer = await self.forwarder.forward(
-                    request,
-                    gate,
-                    target.target_id,
-                    exchange.build_incoming(),
-                    time_left,
+                    request, gate, target.target_id, exchange.build_incoming(), left
                 )
         except TimeoutError:
             if exchange.abandoned:
@@ -353,14 +339,12 @@
         """Start the timer that abandons a slow attempt before the deadline."""
         health = self.blackboard.health.get(target.target_id)
         expected_latency = health.latency if health is not None else None
-        attempt_timeout = compute_attempt_timeout(
-            exchange.request, time_left, expected_latency
-        )
-        if attempt_timeout is None:
+        delay = compute_attempt_timeout(exchange.request, time_left, expected_latency)
+        if delay is None:
             return None
         loop = asyncio.get_running_loop()
         return loop.call_later(
-            attempt_timeout.total_seconds(), self.abandon_attempt, exchange, timeout
+            delay.total_seconds(), self.abandon_attempt, exchange, timeout
         )
 
     def abandon_attempt(self, exchange: Exchange, timeout: asyncio.Timeout) -> None:
