--- a/benchmarks/control_bad_hours.py
+++ b/benchmarks/control_bad_hours.py
@@ -139,8 +139,8 @@
     names = {node.daemon_id for node in inside}
     outside = [node for node in bus.nodes.values() if node.daemon_id not in names]
     others = {node.daemon_id for node in outside}
-    bus.rules.cut(sorted(names), sorted(others))
-    bus.rules.cut(sorted(others), sorted(names))
+    bus.rules.block(sorted(names), sorted(others))
+    bus.rules.block(sorted(others), sorted(names))
     used = count_targets(outside + inside)
     hours = [
         run_until(
@@ -151,7 +151,7 @@
         ),
         run_until(bus, f"region cut: the next {CUT_S:.0f} s", lambda: False, CUT_S),
     ]
-    bus.rules.cuts.clear()
+    bus.rules.blocked_links.clear()
     hours.append(
         run_until(
             bus,
--- a/benchmarks/detection.py
+++ b/benchmarks/detection.py
@@ -18,7 +18,7 @@
 from benchmarks.detection_baselines import ConsecutiveFailures, HealthEndpoint
 from benchmarks.detection_faults import HARD, NOBODY_SICK, Fault
 from benchmarks.detection_users import ADDIS, HOKKAIDO
-from benchmarks.detection_world import Scenario, World, make_controllers
+from benchmarks.detection_world import Scenario, World, create_controllers
 
 REPORT = pathlib.Path(__file__).parent.parent / "docs/measurements/detection.md"
 WORKERS = 4
@@ -26,7 +26,7 @@
 WATCH_S = 10.0
 SHORT_WATCH_S = {Fault.OVERLOAD: 3.0}
 POLICIES = {
-    "wagtailstep": make_controllers,
+    "wagtailstep": create_controllers,
     "consecutive": lambda *args: [ConsecutiveFailures(*args)],
     "health": lambda *args: [HealthEndpoint(*args)],
 }
--- a/benchmarks/detection_world.py
+++ b/benchmarks/detection_world.py
@@ -155,7 +155,7 @@
         self.messages_sent = 0
         self.targets = self.make_targets()
         self.table = Table(version=1, services={scenario.row.service: scenario.row})
-        self.daemons = self.make_daemons(policy or make_controllers)
+        self.daemons = self.make_daemons(policy or create_controllers)
         self.sick = self.choose_sick()
         self.detected_at: dict[str, float] = {}
         self.known_to: dict[str, set[str]] = {}
@@ -532,7 +532,7 @@
         self.floor_broken += lowest < self.scenario.row.floor_weight
 
 
-def make_controllers(
+def create_controllers(
     settings: DaemonSettings, board: Blackboard, clock: ManualClock, rng: random.Random
 ) -> list[Any]:
     """Build the controllers under test."""
--- a/benchmarks/histories/fleet.py
+++ b/benchmarks/histories/fleet.py
@@ -23,7 +23,7 @@
 from wagtailstep.models.settings import DaemonSettings, LogSettings
 from wagtailstep.models.verdict import Verdict
 from wagtailstep.network.entry import EntryService
-from wagtailstep.network.runtime import Outside, Runtime
+from wagtailstep.network.runtime import Runtime, RuntimeAdapters
 from wagtailstep.utils.clock import LoopClock
 
 SERVICE = "contracts"
@@ -113,7 +113,7 @@
         rng = random.Random(f"{self.fleet.seed}/{self.daemon_id}")
         parts = (settings, self.board, LoopClock(), rng)
         log = LogClient(self.daemon_id, self.fleet.log)
-        self.runtime = Runtime(*parts, Outside(log, SilentChannel(), None))
+        self.runtime = Runtime(*parts, RuntimeAdapters(log, SilentChannel(), None))
         self.routing = RoutingController(*parts)
         self.guard = DuplicateGuard(*parts)
         self.entry = EntryService(
@@ -126,7 +126,7 @@
             apply=self.runtime.apply_all,
         )
         self.runtime.controllers = (self.routing, self.guard)
-        self.runtime.listeners[RequestDecided] = self.entry.settle
+        self.runtime.effect_handlers[RequestDecided] = self.entry.settle
         await self.runtime.start()
 
     def crash(self) -> None:
--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -29,7 +29,7 @@
 from wagtailstep.network.entry import EntryService
 from wagtailstep.network.log_client import HttpLogService
 from wagtailstep.network.problems import yield_body
-from wagtailstep.network.runtime import Outside, Runtime
+from wagtailstep.network.runtime import Runtime, RuntimeAdapters
 from wagtailstep.utils.clock import LoopClock
 
 SERVICE = "contracts"
@@ -111,7 +111,7 @@
         board.targets[target_id] = Target(target_id, SERVICE, "d1", "z")
     parts = (settings, board, LoopClock(), random.Random(seed))
     log = CountingLog(settings.log)
-    runtime = Runtime(*parts, Outside(log, SilentChannel(), None))
+    runtime = Runtime(*parts, RuntimeAdapters(log, SilentChannel(), None))
     routing, guard = RoutingController(*parts), DuplicateGuard(*parts)
     entry = EntryService(
         *parts,
@@ -123,7 +123,7 @@
         apply=runtime.apply_all,
     )
     runtime.controllers = (routing, guard)
-    runtime.listeners[RequestDecided] = entry.settle
+    runtime.effect_handlers[RequestDecided] = entry.settle
     await runtime.start()
     return Bench(entry, runtime, log)
 
--- a/benchmarks/soak/fleet.py
+++ b/benchmarks/soak/fleet.py
@@ -72,7 +72,7 @@
         self.network = network
         super().__init__(settings, SoakClock())
 
-    def make_channel(self) -> InMemoryPeerChannel:
+    def create_channel(self) -> InMemoryPeerChannel:
         """Return a channel of the network in memory."""
         return InMemoryPeerChannel(
             self.network, self.settings.daemon_id, self.settings.peer_address
@@ -223,13 +223,13 @@
         for other in self.hosts:
             if other is not host:
                 detangle.network().disconnect(host.name, other.name)
-                self.network.rules.cut([host.name], [other.name])
-                self.network.rules.cut([other.name], [host.name])
+                self.network.rules.block([host.name], [other.name])
+                self.network.rules.block([other.name], [host.name])
 
     def heal(self) -> None:
         """Mend all links."""
         detangle.network().heal()
-        self.network.rules.cuts.clear()
+        self.network.rules.blocked_links.clear()
 
     def count_runs(self) -> Counter[str]:
         """Return how often each request began to run, over all backend servers."""
--- a/features/steps/control_bus_steps.py
+++ b/features/steps/control_bus_steps.py
@@ -121,13 +121,13 @@
 
 @when("messages from {senders} to {receivers} are cut")
 def cut_links(context, senders, receivers):
-    context.bus.rules.cut(names(context, senders), names(context, receivers))
+    context.bus.rules.block(names(context, senders), names(context, receivers))
     context.lapses_before = count_lapses(context.bus.nodes.values())
 
 
 @when("all cuts are mended")
 def mend(context):
-    context.bus.rules.cuts.clear()
+    context.bus.rules.blocked_links.clear()
 
 
 @when("the bus is parted between {last} and {first}")
@@ -136,8 +136,8 @@
     left = everybody[: everybody.index(first)]
     right = everybody[everybody.index(first) :]
     assert left[-1] == last
-    context.bus.rules.cut(left, right)
-    context.bus.rules.cut(right, left)
+    context.bus.rules.block(left, right)
+    context.bus.rules.block(right, left)
 
 
 @when("daemon {daemon_id} ends without a word")
--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -38,7 +38,7 @@
 from wagtailstep.network.log_client import HttpLogService
 from wagtailstep.network.log_daemon import LogDaemon
 from wagtailstep.network.log_follower import LogFollower
-from wagtailstep.network.runtime import Outside, Runtime
+from wagtailstep.network.runtime import Runtime, RuntimeAdapters
 from wagtailstep.utils.clock import LoopClock, ManualClock
 
 ADDRESS = "127.0.0.1:1"
@@ -67,7 +67,7 @@
 def make_runtime(log=None):
     settings = DaemonSettings("a", "z", ADDRESS, ADDRESS, ADDRESS, ADDRESS)
     blackboard = Blackboard(Member("a", 1, ADDRESS, ADDRESS, "z"))
-    outside = Outside(log=log, channel=None, probe=None)
+    outside = RuntimeAdapters(log=log, channel=None, probe=None)
     runtime = Runtime(settings, blackboard, ManualClock(), random.Random(1), outside)
     recorder = RecordingController()
     runtime.controllers = (FailingController(), recorder)
@@ -86,8 +86,8 @@
 
 @when("a peer message with an unknown body arrives")
 def receive_unknown(context):
-    context.runtime.receive("b", StampedMessage(1, b"\x92\xa3foo\x80"))
-    context.runtime.receive("b", "not stamped")
+    context.runtime.handle_peer_message("b", StampedMessage(1, b"\x92\xa3foo\x80"))
+    context.runtime.handle_peer_message("b", "not stamped")
 
 
 @then("the second controller has seen the tick")
@@ -98,7 +98,7 @@
 @then("the second controller has seen nothing")
 def check_nothing_seen(context):
     assert context.recorder.events == []
-    context.runtime.receive("b", StampedMessage(1, b"\x92"))
+    context.runtime.handle_peer_message("b", StampedMessage(1, b"\x92"))
     assert not [e for e in context.recorder.events if type(e) is PeerMessageReceived]
 
 
--- a/features/steps/http_client_steps.py
+++ b/features/steps/http_client_steps.py
@@ -114,8 +114,8 @@
     def keep(self, connection):
         del connection.close
         connection.state = h11.Connection(h11.CLIENT)
-        connection.consumed = connection.reader.arrived
-        connection.proved_at = self.clock.monotonic()
+        connection.bytes_consumed = connection.reader.bytes_received
+        connection.last_response_at = self.clock.monotonic()
         self.pools.setdefault(connection.address, deque()).append(connection)
 
 
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -20,7 +20,7 @@
     LoadSettings,
     LoadSide,
 )
-from wagtailstep.network.load_player import LoadPlayer
+from wagtailstep.network.load_generator import LoadGenerator
 from wagtailstep.utils.clock import LoopClock
 
 ADDRESSES = {"old": "127.0.0.1:9001", "new": "127.0.0.1:9002"}
@@ -83,7 +83,7 @@
             changes = BackendServerSettings("contracts", address, slots=slots)
             servers.append(BackendServer(changes))
             await servers[-1].start()
-        context.sides = await LoadPlayer(settings, LoopClock()).play()
+        context.sides = await LoadGenerator(settings, LoopClock()).run()
         await asyncio.sleep(5)
         for server in servers:
             await server.stop()
--- a/features/steps/peer_channel_steps.py
+++ b/features/steps/peer_channel_steps.py
@@ -220,7 +220,7 @@
 @given('two in-memory channels with a cut from "{sender}" to "{receiver}"')
 def make_memory_channels(context, sender, receiver):
     context.network = MemoryNetwork(random.Random(5))
-    context.network.rules.cut([sender], [receiver])
+    context.network.rules.block([sender], [receiver])
     context.received = {"a": [], "b": []}
 
 
--- a/features/steps/readiness_steps.py
+++ b/features/steps/readiness_steps.py
@@ -10,7 +10,7 @@
 from wagtailstep.models.gate import WorkEnded, WorkResult
 from wagtailstep.models.request import RequestEnded
 from wagtailstep.network.metrics import MetricsRecorder
-from wagtailstep.network.watch_routes import is_ready
+from wagtailstep.network.monitoring_routes import is_ready
 from wagtailstep.utils.clock import ManualClock
 
 
@@ -56,13 +56,13 @@
 @when('{count:d} calls to store end as "{outcome}"')
 def end_store_calls(context, count, outcome):
     for _ in range(count):
-        context.metrics.count_store_call(outcome)
+        context.metrics.record_store_call(outcome)
     context.exported = context.metrics.export_text().decode()
 
 
 @when('a gauge of services reads {value:d} for "{service}"')
 def read_gauge(context, value, service):
-    context.metrics.watch_services(
+    context.metrics.add_service_gauge(
         "wagtailstep.gate.waiting", "{request}", lambda: {service: value}
     )
     context.exported = context.metrics.export_text().decode()
@@ -78,7 +78,7 @@
 
 @then("the table is {seconds:d} s old")
 def check_age(context, seconds):
-    assert context.metrics.read_table_age() == seconds
+    assert context.metrics.compute_table_age() == seconds
 
 
 @then('the text has "{name}" of {count:d} for {attribute} "{value}"')
--- a/src/wagtailstep/cli/load.py
+++ b/src/wagtailstep/cli/load.py
@@ -12,7 +12,7 @@
 from wagtailstep.commands.report_load import draw_results, format_results
 from wagtailstep.models.load_results import SideResult
 from wagtailstep.models.load_settings import LoadSettings
-from wagtailstep.network.load_player import LoadPlayer
+from wagtailstep.network.load_generator import LoadGenerator
 from wagtailstep.utils.clock import LoopClock
 
 
@@ -37,8 +37,8 @@
     steps = settings.slices * len(settings.sides)
     # Shown on terminals only.
     with tqdm(total=steps, unit="slice", disable=None) as progress:
-        player = LoadPlayer(settings, LoopClock(), progress.update)
-        return await player.play()
+        player = LoadGenerator(settings, LoopClock(), progress.update)
+        return await player.run()
 
 
 def check(file: str) -> int:
--- a/src/wagtailstep/fakes/backend_server.py
+++ b/src/wagtailstep/fakes/backend_server.py
@@ -211,7 +211,7 @@
         if draw(self.rng, faults.hang_share):
             await asyncio.Event().wait()
         if draw(self.rng, faults.lose_share):
-            connection.break_connection()
+            connection.reset_connection()
         cut = draw(self.rng, faults.truncate_share)
         return work.answer(self.address, connection.transport.close if cut else None)
 
--- a/src/wagtailstep/fakes/control_bus.py
+++ b/src/wagtailstep/fakes/control_bus.py
@@ -204,7 +204,9 @@
         if receiver is None:
             return
         event = PeerMessageReceived(node.daemon_id, effect.message)
-        for delay in self.rules.delays(node.daemon_id, receiver.daemon_id, self.rng):
+        for delay in self.rules.draw_delays(
+            node.daemon_id, receiver.daemon_id, self.rng
+        ):
             self._schedule(timedelta(milliseconds=delay), receiver, event)
 
     def _append(self, node: BusNode, effect: AppendToLog) -> None:
--- a/src/wagtailstep/network/announcements.py
+++ b/src/wagtailstep/network/announcements.py
@@ -25,7 +25,7 @@
 MAX_PORT = 65_535
 MAX_BODY_BYTES = 4_096
 MAX_LOGGED_REFUSALS = 256
-LOG_AGAIN_AFTER = timedelta(minutes=10)
+REFUSAL_LOG_INTERVAL = timedelta(minutes=10)
 
 _ADDRESS = re.compile(r"^(?P<host>[A-Za-z0-9.-]+):(?P<port>[0-9]{1,5})$")
 _SERVICE = re.compile(r"^[A-Za-z0-9._-]{1,64}$")
@@ -56,17 +56,17 @@
         self.dispatch = dispatch
         self.settings = settings
         self.clock = clock
-        self.logged: dict[str, timedelta] = {}
+        self.logged_at: dict[str, timedelta] = {}
 
     async def announce(self, request: Request) -> Response:
         """Take ``PUT /v1/targets/{service}``: announce or renew."""
         try:
-            service = read_service(request)
-            announcement = read_announcement(await request.read())
+            service = parse_service(request)
+            announcement = parse_announcement(await request.read())
             check_address(announcement.address, self.settings)
             check_slots(announcement.slots)
         except BadRequestError as error:
-            return self.refuse(error)
+            return self.build_refusal(error)
         target = Target(
             target_id=f"{service}/{announcement.address}",
             service=service,
@@ -75,27 +75,27 @@
             slots=announcement.slots,
         )
         self.dispatch(TargetAnnounced(target))
-        return self.confirm(target.target_id)
+        return self.build_confirmation(target.target_id)
 
     async def withdraw(self, request: Request) -> Response:
         """Take ``DELETE /v1/targets/{service}?address=host:port``: leave."""
         try:
-            service = read_service(request)
+            service = parse_service(request)
             address = "".join(request.query.get("address") or ())
             check_address(address, self.settings)
         except BadRequestError as error:
-            return self.refuse(error)
+            return self.build_refusal(error)
         target_id = f"{service}/{address}"
         self.dispatch(TargetWithdrawn(target_id))
-        return self.confirm(target_id)
+        return self.build_confirmation(target_id)
 
-    def confirm(self, target_id: str) -> Response:
+    def build_confirmation(self, target_id: str) -> Response:
         """Answer what was taken and how soon it has to be renewed."""
         lease_ms = self.settings.membership.announce_lease_ms
         body = msgspec.json.encode({"target": target_id, "lease_ms": lease_ms})
         return Response(200, None, Content(b"application/json", body))
 
-    def refuse(self, error: BadRequestError) -> Response:
+    def build_refusal(self, error: BadRequestError) -> Response:
         """Answer why an announcement was refused, and log that once."""
         self.log_refusal(str(error))
         problem = {
@@ -110,12 +110,12 @@
     def log_refusal(self, detail: str) -> None:
         """Log a refusal, unless the same was logged a short while ago."""
         now = self.clock.monotonic()
-        last = self.logged.get(detail)
-        if last is not None and now - last < LOG_AGAIN_AFTER:
+        last = self.logged_at.get(detail)
+        if last is not None and now - last < REFUSAL_LOG_INTERVAL:
             return
-        if len(self.logged) >= MAX_LOGGED_REFUSALS:
-            del self.logged[next(iter(self.logged))]
-        self.logged[detail] = now
+        if len(self.logged_at) >= MAX_LOGGED_REFUSALS:
+            del self.logged_at[next(iter(self.logged_at))]
+        self.logged_at[detail] = now
         log_event(LOGGER, "announcement-refused", logging.WARNING, detail=detail)
 
 
@@ -143,7 +143,7 @@
     app.router.add("DELETE", ROUTE, withdraw)
 
 
-def read_service(request: Request) -> str:
+def parse_service(request: Request) -> str:
     """Return the service in the path.
 
     :raises BadRequestError: if it is not a name.
@@ -157,7 +157,7 @@
     return service
 
 
-def read_announcement(body: bytes | None) -> Announcement:
+def parse_announcement(body: bytes | None) -> Announcement:
     """Read the body of an announcement.
 
     :raises BadRequestError: if it is not JSON or has a wrong or unknown key.
@@ -184,10 +184,11 @@
     match = _ADDRESS.match(address)
     if match is None or not 0 < int(match["port"]) <= MAX_PORT:
         raise BadRequestError(f"address {address!r} is not allowed; give host:port")
-    own_hosts = {
-        own.rpartition(":")[0] for own in (settings.gate_address, settings.peer_address)
+    local_hosts = {
+        address_setting.rpartition(":")[0]
+        for address_setting in (settings.gate_address, settings.peer_address)
     }
-    if match["host"] not in own_hosts and not is_loopback(match["host"]):
+    if match["host"] not in local_hosts and not is_loopback(match["host"]):
         raise BadRequestError(
             f"address {address!r} belongs to another instance; announce it to the "
             "daemon beside it",
--- a/src/wagtailstep/network/daemon.py
+++ b/src/wagtailstep/network/daemon.py
@@ -38,11 +38,11 @@
 from wagtailstep.network.http_client import HttpClient
 from wagtailstep.network.http_server import HttpServer
 from wagtailstep.network.metrics import MetricsRecorder
+from wagtailstep.network.monitoring_routes import add_metrics_route, add_ready_route
 from wagtailstep.network.peer_channel import ZeroMqPeerChannel
 from wagtailstep.network.prober import Prober
 from wagtailstep.network.relay import HttpRelay
-from wagtailstep.network.runtime import Outside, Runtime
-from wagtailstep.network.watch_routes import add_metrics_route, add_ready_route
+from wagtailstep.network.runtime import Runtime, RuntimeAdapters
 from wagtailstep.utils.clock import Clock
 from wagtailstep.utils.logging import log_event
 
@@ -61,7 +61,7 @@
         self.settings = settings
         self.clock = clock
         self.rng = random.Random(settings.seed)
-        self.blackboard = Blackboard(make_member(settings, clock))
+        self.blackboard = Blackboard(build_local_member(settings, clock))
         self.client = HttpClient(settings.requests, clock)
         self.build_runtime()
         self.build_entry()
@@ -74,10 +74,10 @@
         self.guard = DuplicateGuard(*parts)
         self.metrics = MetricsRecorder(self.blackboard, self.clock)
         gate_controller = GateController(*parts)
-        self.metrics.watch_services(
+        self.metrics.add_service_gauge(
             "wagtailstep.gate.waiting", "{request}", gate_controller.count_waiting
         )
-        self.metrics.watch_services(
+        self.metrics.add_service_gauge(
             "wagtailstep.gate.running", "{request}", gate_controller.count_running
         )
         self.gate = GateService(
@@ -93,34 +93,34 @@
             self.rng,
             self.forwarder,
         )
-        self.log = self.find_log()
-        outside = Outside(
+        self.log = self.create_log_service()
+        adapters = RuntimeAdapters(
             log=self.log,
-            channel=self.make_channel(),
+            channel=self.create_channel(),
             probe=prober.probe,
-            store=self.find_store(),
+            store=self.get_keyed_store(),
         )
-        self.runtime = Runtime(*parts, outside)
-        self.runtime.controllers = self.make_controllers()
+        self.runtime = Runtime(*parts, adapters)
+        self.runtime.controllers = self.create_controllers()
         self.client.on_unreachable = lambda address: self.dispatch(GateSilent(address))
 
-    def make_controllers(self) -> tuple[Controller, ...]:
+    def create_controllers(self) -> tuple[Controller, ...]:
         """Return the controllers; each sees what those before it wrote for an event."""
         raise NotImplementedError
 
-    def find_log(self) -> LogService:
+    def create_log_service(self) -> LogService:
         """Return the platform's log service, or one without records."""
         return NoLog()
 
-    def make_channel(self) -> PeerChannel:
+    def create_channel(self) -> PeerChannel:
         """Return the control channel to the other daemons."""
         return ZeroMqPeerChannel(self.settings, self.clock)
 
-    def find_store(self) -> KeyedStore:
+    def get_keyed_store(self) -> KeyedStore:
         """Return the platform's keyed store, or one without records."""
         return NoKeyedStore()
 
-    def add_announcements(self, app: Application) -> None:
+    def add_target_routes(self, app: Application) -> None:
         """Let the backend servers beside this daemon announce themselves."""
         add_announcement_routes(app, self.runtime.dispatch, self.settings, self.clock)
 
@@ -138,10 +138,10 @@
             dispatch=self.runtime.dispatch,
             apply=self.runtime.apply_all,
         )
-        self.runtime.listeners[RequestDecided] = self.entry.settle
+        self.runtime.effect_handlers[RequestDecided] = self.entry.settle
         shared = self.entry.sender.retries.shared_budget
         if shared is not None:
-            self.metrics.watch_services(
+            self.metrics.add_service_gauge(
                 "wagtailstep.retries.room",
                 "{retry}",
                 shared.compute_remaining_by_service,
@@ -159,7 +159,7 @@
         gate_app = ExchangeApp(choose_handler(self.gate.handle, self.entry.handle))
         # Without a router of its own it would share one with all applications.
         self.announce_app = Application(router=Router())
-        self.add_announcements(self.announce_app)
+        self.add_target_routes(self.announce_app)
         self.ready_app = Application(router=Router())
         add_ready_route(self.ready_app, self.blackboard)
         self.metrics_app = Application(router=Router())
@@ -208,7 +208,7 @@
         :return: whether all requests in flight ended within the drain limit.
         """
         notice = timedelta(milliseconds=self.settings.shutdown_notice_ms)
-        limit = self.find_shutdown_limit(notice)
+        limit = self.compute_shutdown_limit(notice)
         self.blackboard.draining = True
         self.caller_app.announce_closing()
         self.runtime.record_event("daemon-draining", limit_s=limit.total_seconds())
@@ -253,14 +253,14 @@
         """Give an event to the controllers; the gate exists before the runtime."""
         self.runtime.dispatch(event)
 
-    def find_shutdown_limit(self, notice: timedelta) -> timedelta:
+    def compute_shutdown_limit(self, notice: timedelta) -> timedelta:
         """Return how long requests in flight may take after the notice."""
         if not self.settings.shutdown_ms:
-            return self.find_drain_limit()
+            return self.compute_drain_limit()
         longest = timedelta(milliseconds=self.settings.shutdown_ms)
         return max(timedelta(), longest - notice)
 
-    def find_drain_limit(self) -> timedelta:
+    def compute_drain_limit(self) -> timedelta:
         """Return the longest drain limit of the services served or asked for."""
         local = {
             self.blackboard.targets[target_id].service
@@ -276,7 +276,7 @@
         return describe_status(self.blackboard)
 
 
-def make_member(settings: DaemonSettings, clock: Clock) -> Member:
+def build_local_member(settings: DaemonSettings, clock: Clock) -> Member:
     """Describe this daemon to the others.
 
     The incarnation is the wall-clock time of the start in milliseconds, so that a
--- a/src/wagtailstep/network/daemon_client.py
+++ b/src/wagtailstep/network/daemon_client.py
@@ -14,8 +14,8 @@
 from wagtailstep.network.http_connection import HttpRequest
 from wagtailstep.network.problems import yield_body
 
-ASK_TIMEOUT = timedelta(seconds=3)
-OK = 200
+REQUEST_TIMEOUT = timedelta(seconds=3)
+STATUS_OK = 200
 _T = TypeVar("_T")
 
 
@@ -33,16 +33,18 @@
 
         :raises RequestError: if it did not answer.
         """
-        return await self.ask(address, "events", list[TimelineEvent])
+        return await self.fetch_resource(address, "events", list[TimelineEvent])
 
     async def fetch_status(self, address: str) -> DaemonStatus:
         """Return a daemon's status.
 
         :raises RequestError: if it did not answer.
         """
-        return await self.ask(address, "status", DaemonStatus)
+        return await self.fetch_resource(address, "status", DaemonStatus)
 
-    async def ask(self, address: str, name: str, kind: type[_T]) -> _T:
+    async def fetch_resource(
+        self, address: str, name: str, response_type: type[_T]
+    ) -> _T:
         """Ask for one of the daemon's own paths.
 
         :raises RequestError: if it did not answer, or with something else.
@@ -54,13 +56,13 @@
             headers=(("host", address),),
             body=yield_body(b""),
             idempotent=True,
-            time_left=ASK_TIMEOUT,
+            time_left=REQUEST_TIMEOUT,
         )
         answer = await self.client.send(request)
         data = await read_whole(answer)
         try:
-            if answer.status == OK:
-                return msgspec.json.decode(data, type=kind)
+            if answer.status == STATUS_OK:
+                return msgspec.json.decode(data, type=response_type)
         except msgspec.MsgspecError:
             pass
         message = f"{address} is not a daemon: it answered with {answer.status}"
--- a/src/wagtailstep/network/exchange_app.py
+++ b/src/wagtailstep/network/exchange_app.py
@@ -55,7 +55,7 @@
             await self.send_answer(answer, send)
         except TruncatedAnswerError as error:
             log_event(logger, "answer-truncated", path=scope["path"], error=str(error))
-            connection.break_answer()
+            connection.abort_response()
         finally:
             await answer.close()
 
--- a/src/wagtailstep/network/gate.py
+++ b/src/wagtailstep/network/gate.py
@@ -281,7 +281,9 @@
             body=incoming.body,
             idempotent=request.idempotent,
             time_left=time_left,
-            expected_id=request.request_id if self.settings.caller_request_ids else "",
+            expected_request_id=request.request_id
+            if self.settings.caller_request_ids
+            else "",
         )
 
     def track_answer(self, request: GateRequest, answer: Answer) -> Answer:
--- a/src/wagtailstep/network/http_client.py
+++ b/src/wagtailstep/network/http_client.py
@@ -35,7 +35,7 @@
 MAX_IDLE_PER_ADDRESS = 8
 
 
-class AnswerBody:
+class ResponseBody:
     """The body of an answer, chunk by chunk; gives its connection back at the end.
 
     :param client: pool for the connection.
@@ -50,10 +50,10 @@
         self.connection = connection
         self.deadline = deadline
         self.ended = False
-        self.whole = False
+        self.complete = False
         self.failed = False
 
-    def __aiter__(self) -> "AnswerBody":
+    def __aiter__(self) -> "ResponseBody":
         """Return the body itself."""
         return self
 
@@ -68,7 +68,7 @@
         if isinstance(event, h11.Data):
             return bytes(event.data)
         self.ended = True
-        self.whole = True
+        self.complete = True
         self.client.release(self.connection)
         raise StopAsyncIteration
 
@@ -130,28 +130,28 @@
         loop = asyncio.get_running_loop()
         deadline = loop.time() + request.time_left.total_seconds()
         connection = await self.acquire(request)
-        watch = self.watch(connection, request)
+        watch = self.create_silence_watch(connection, request)
         try:
             async with asyncio.timeout_at(deadline):
                 head = await connection.exchange_heads(request)
         except (OSError, h11.ProtocolError) as error:
             connection.close()
-            raise describe_failure(error, connection) from error
+            raise build_failure(error, connection) from error
         except BaseException as error:
             connection.close()
             if isinstance(error, RequestError):
-                error.verdict = verdict_of(connection)
+                error.verdict = get_failure_verdict(connection)
             raise
         finally:
             if watch is not None:
                 watch.stop()
-        body = AnswerBody(self, connection, deadline)
+        body = ResponseBody(self, connection, deadline)
         headers = remove_hop_by_hop(decode_headers(head.headers))
         # A gate's refusal does not name the gate; it is still the same one.
         connection.gate_id = find_header(headers, GATE_ID) or connection.gate_id
         return Answer(head.status_code, headers, body, Verdict.RUN, body.close)
 
-    def watch(
+    def create_silence_watch(
         self, connection: HttpConnection, request: HttpRequest
     ) -> SilenceWatch | None:
         """Watch a kept connection to a gate for silence."""
@@ -166,7 +166,7 @@
 
         :raises RequestError: if none can be opened; nothing was sent.
         """
-        connection = self.take_idle(request.address, self.max_age(request))
+        connection = self.pop_idle(request.address, self.compute_max_age(request))
         if connection is not None:
             return connection
         longest = timedelta(milliseconds=self.settings.connect_timeout_ms)
@@ -180,13 +180,13 @@
                 raise DeadlineExceededError(message, Verdict.NOT_RUN) from error
             raise ConnectionFailedError(message, Verdict.NOT_RUN) from error
 
-    def max_age(self, request: HttpRequest) -> timedelta:
+    def compute_max_age(self, request: HttpRequest) -> timedelta:
         """Return how long ago a kept connection must have been proved."""
         if request.idempotent:
             return self.idle_limit
         return timedelta(milliseconds=self.settings.unsafe_idle_ms)
 
-    def take_idle(self, address: str, max_age: timedelta) -> HttpConnection | None:
+    def pop_idle(self, address: str, max_age: timedelta) -> HttpConnection | None:
         """Return the connection that was used last, if it is young enough."""
         pool = self.pools.get(address)
         now = self.clock.monotonic()
@@ -194,7 +194,7 @@
             connection = pool[-1]
             if not connection.is_clean:
                 pool.pop().close()
-            elif now - connection.proved_at > max_age:
+            elif now - connection.last_response_at > max_age:
                 return None
             else:
                 return pool.pop()
@@ -217,9 +217,9 @@
         """Have old idle connections closed a while from now."""
         loop = asyncio.get_running_loop()
         delay = self.idle_limit.total_seconds()
-        self.sweep_timer = loop.call_later(delay, self.close_idle)
+        self.sweep_timer = loop.call_later(delay, self.close_expired)
 
-    def close_idle(self) -> None:
+    def close_expired(self) -> None:
         """Close connections that were idle for too long, again and again."""
         now = self.clock.monotonic()
         for address, pool in list(self.pools.items()):
@@ -242,16 +242,16 @@
         self.pools.clear()
 
 
-def verdict_of(connection: HttpConnection) -> Verdict:
+def get_failure_verdict(connection: HttpConnection) -> Verdict:
     """Return the verdict on a request whose exchange failed."""
     return Verdict.MAY_HAVE_RUN if connection.bytes_sent else Verdict.NOT_RUN
 
 
-def describe_failure(error: Exception, connection: HttpConnection) -> RequestError:
+def build_failure(error: Exception, connection: HttpConnection) -> RequestError:
     """Turn a failed exchange into an error with a true verdict."""
     if connection.failure is not None:
         return connection.failure
-    verdict = verdict_of(connection)
+    verdict = get_failure_verdict(connection)
     address = connection.address
     if isinstance(error, TimeoutError):
         return DeadlineExceededError(f"no answer of {address} in time", verdict)
--- a/src/wagtailstep/network/http_connection.py
+++ b/src/wagtailstep/network/http_connection.py
@@ -31,9 +31,9 @@
     :param idempotent: whether running it twice does no harm.
     :param time_left: time until the whole answer must have arrived.
     :param attempt_id: what a gate calls this sending; empty if it goes to no gate.
-    :param expected_id: request identifier that the answer repeats; a leftover answer
+    :param expected_request_id: request identifier that the answer repeats; a leftover answer
         with another one is passed over. Empty if answers aren't told apart.
-    :param silence_after: time without an answer after which a gate is asked, over a
+    :param silence_timeout: time without an answer after which a gate is asked, over a
         new connection, what became of the request.
     """
 
@@ -45,11 +45,11 @@
     idempotent: bool
     time_left: timedelta
     attempt_id: str = ""
-    expected_id: str = ""
-    silence_after: timedelta = timedelta(seconds=1)
+    expected_request_id: str = ""
+    silence_timeout: timedelta = timedelta(seconds=1)
 
     @property
-    def waits_to_continue(self) -> bool:
+    def expects_continue(self) -> bool:
         """Tell whether the server must ask for the body before it is sent."""
         return find_header(self.headers, "expect") is not None
 
@@ -70,11 +70,11 @@
 
     def __init__(self) -> None:
         super().__init__(limit=READ_SIZE_BYTES)
-        self.arrived = 0
+        self.bytes_received = 0
 
     def feed_data(self, data: bytes) -> None:
         """Count bytes and keep them."""
-        self.arrived += len(data)
+        self.bytes_received += len(data)
         super().feed_data(data)
 
 
@@ -97,14 +97,14 @@
         self.address = address
         self.reader = reader
         self.writer = writer
-        self.proved_at = now
+        self.last_response_at = now
         self.idle_since = now
         self.reused = False
         self.bytes_sent = False
         self.gate_id = ""
         self.failure: RequestError | None = None
-        self.consumed = 0
-        self.sender: asyncio.Task[None] | None = None
+        self.bytes_consumed = 0
+        self.body_sender: asyncio.Task[None] | None = None
         self.state = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
@@ -114,7 +114,7 @@
         """Tell whether the idle connection looks fit for another request."""
         if self.writer.is_closing() or self.reader.at_eof():
             return False
-        return self.consumed == self.reader.arrived
+        return self.bytes_consumed == self.reader.bytes_received
 
     def write_event(self, event: h11.Event) -> None:
         """Write one event of the request.
@@ -174,7 +174,7 @@
         event = self.state.next_event()
         while event is h11.NEED_DATA:
             data = await self.reader.read(READ_SIZE_BYTES)
-            self.consumed += len(data)
+            self.bytes_consumed += len(data)
             self.state.receive_data(data)
             event = self.state.next_event()
         return event
@@ -186,7 +186,7 @@
             event = await self.read_event()
         return self.require_head(event)
 
-    async def read_go_ahead(self) -> h11.Response | None:
+    async def wait_for_continue(self) -> h11.Response | None:
         """Wait until the server asks for the body.
 
         :return: the head of its final answer if it doesn't want the body.
@@ -216,38 +216,44 @@
         self.bytes_sent = False
         self.start_request(request)
         if request.body is None or not request.has_body:
-            return await self.pass_leftovers(await self.read_head(), request)
-        if request.waits_to_continue:
-            refusal = await self.read_go_ahead()
-            if refusal is not None:
-                return refusal
-        self.sender = asyncio.create_task(self.send_body(request.body))
+            return await self.skip_stale_responses(await self.read_head(), request)
+        if request.expects_continue:
+            final_head = await self.wait_for_continue()
+            if final_head is not None:
+                return final_head
+        self.body_sender = asyncio.create_task(self.send_body(request.body))
         head = asyncio.create_task(self.read_head())
-        head.add_done_callback(_forget_result)
+        head.add_done_callback(_retrieve_exception)
         try:
-            await asyncio.wait({self.sender, head}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                {self.body_sender, head}, return_when=asyncio.FIRST_COMPLETED
+            )
             if not head.done():
-                self.check_sender()
+                self.raise_body_error()
             found = await head
-            if self.sender.done():
-                return await self.pass_leftovers(found, request)
+            if self.body_sender.done():
+                return await self.skip_stale_responses(found, request)
             return found
         finally:
             head.cancel()
 
-    async def pass_leftovers(
+    async def skip_stale_responses(
         self, head: h11.Response, request: HttpRequest
     ) -> h11.Response:
         """Pass over late answers to earlier requests, as their identifiers show.
 
         :return: the head of the first answer that may be to this request.
         """
-        while request.expected_id and self.reused and is_leftover(head, request):
-            await self.skip_answer()
+        while (
+            request.expected_request_id
+            and self.reused
+            and is_stale_response(head, request)
+        ):
+            await self.skip_response()
             head = await self.read_head()
         return head
 
-    async def skip_answer(self) -> None:
+    async def skip_response(self) -> None:
         """Read an answer to its end and expect another one to the same request."""
         event = await self.read_event()
         while isinstance(event, h11.Data):
@@ -270,13 +276,13 @@
         if rest:
             self.state.receive_data(rest)
 
-    def check_sender(self) -> None:
+    def raise_body_error(self) -> None:
         """Raise what ended the body early, unless the connection itself broke.
 
         A server may answer and close while it is still being sent the body; then
         writing fails but the answer can still be read.
         """
-        error = self.sender.exception()
+        error = self.body_sender.exception()
         if error is not None and not isinstance(error, OSError):
             raise error
 
@@ -286,12 +292,12 @@
         :param now: monotonic time.
         :return: whether the connection can be used again.
         """
-        if self.sender is not None:
-            sent = self.sender.done() and self.sender.exception() is None
+        if self.body_sender is not None:
+            sent = self.body_sender.done() and self.body_sender.exception() is None
             if not sent:
                 return False
-            self.sender = None
-        self.proved_at = now
+            self.body_sender = None
+        self.last_response_at = now
         self.idle_since = now
         if self.state.our_state is not h11.DONE:
             return False
@@ -308,17 +314,17 @@
 
     def close(self) -> None:
         """Close at once, whatever is still buffered; may be called repeatedly."""
-        if self.sender is not None:
-            self.sender.cancel()
-            self.sender.add_done_callback(_forget_result)
-            self.sender = None
+        if self.body_sender is not None:
+            self.body_sender.cancel()
+            self.body_sender.add_done_callback(_retrieve_exception)
+            self.body_sender = None
         reset_transport(self.writer.transport)
 
 
-def is_leftover(head: h11.Response, request: HttpRequest) -> bool:
+def is_stale_response(head: h11.Response, request: HttpRequest) -> bool:
     """Tell whether an answer names another request than the one it follows."""
     found = find_header(decode_headers(head.headers), REQUEST_ID)
-    return found is not None and found != request.expected_id
+    return found is not None and found != request.expected_request_id
 
 
 def reset_transport(transport: asyncio.WriteTransport) -> None:
@@ -332,7 +338,7 @@
     transport.abort()
 
 
-def _forget_result(task: asyncio.Task[None]) -> None:
+def _retrieve_exception(task: asyncio.Task[None]) -> None:
     if not task.cancelled():
         task.exception()
 
--- a/src/wagtailstep/network/http_protocol.py
+++ b/src/wagtailstep/network/http_protocol.py
@@ -38,25 +38,25 @@
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
         self.logger = uvicorn_logger
-        self.served_app = self.app
+        self.inner_app = self.app
         self.app = self.run_handler
         self.handler: asyncio.Task[None] | None = None
-        self.on_lost: Callable[[], None] = do_nothing
+        self.on_connection_lost: Callable[[], None] = do_nothing
         self.head_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begin to wait for a request."""
         super().connection_made(transport)
-        self.wait_for_head()
+        self.start_head_timer()
 
-    def wait_for_head(self) -> None:
+    def start_head_timer(self) -> None:
         """Close the connection if no whole head of a request arrives in time.
 
         uvicorn's own limit begins anew with each byte.
         """
         self.head_timer = self.loop.call_later(HEAD_TIMEOUT_S, self.transport.close)
 
-    def stop_waiting_for_head(self) -> None:
+    def cancel_head_timer(self) -> None:
         """Leave the connection open for as long as its request takes."""
         if self.head_timer is not None:
             self.head_timer.cancel()
@@ -64,30 +64,30 @@
     async def run_handler(self, scope: Any, receive: Any, send: Any) -> None:
         """Run the application; being cancelled by the caller's leaving is no error."""
         self.handler = asyncio.current_task()
-        self.stop_waiting_for_head()
+        self.cancel_head_timer()
         scope[CONNECTION_KEY] = self
         try:
-            await self.served_app(scope, receive, send)
+            await self.inner_app(scope, receive, send)
         except asyncio.CancelledError:
             log_event(
                 logger, "request-cancelled", path=scope["path"], client=self.client
             )
-            self.break_connection()
+            self.reset_connection()
         finally:
             self.handler = None
             if not self.transport.is_closing():
-                self.wait_for_head()
+                self.start_head_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel the handler: nobody waits for its answer any more."""
-        self.stop_waiting_for_head()
+        self.cancel_head_timer()
         answered = self.cycle is None or self.cycle.response_complete
         super().connection_lost(exc)
         if self.handler is not None and not answered:
             self.handler.cancel()
-        self.on_lost()
+        self.on_connection_lost()
 
-    def break_answer(self) -> None:
+    def abort_response(self) -> None:
         """End the connection so that the answer on it can't look whole.
 
         HTTP/1.1 frames its answers, so the end of the connection shows that this one
@@ -95,11 +95,11 @@
         its connection; only a reset shows that it is cut.
         """
         if self.scope["http_version"] == "1.0":
-            self.break_connection()
+            self.reset_connection()
         else:
             self.transport.close()
 
-    def break_connection(self) -> None:
+    def reset_connection(self) -> None:
         """Reset the connection; what was not delivered yet is dropped."""
         reset_transport(self.transport)
 
@@ -116,11 +116,11 @@
             error=error or msg,
         )
         if self.conn.our_state is not h11.IDLE or self.handler is not None:
-            self.break_connection()
+            self.reset_connection()
             return
-        self.answer_malformed(status, str(error or msg))
+        self.send_error_response(status, str(error or msg))
 
-    def answer_malformed(self, status: int, detail: str) -> None:
+    def send_error_response(self, status: int, detail: str) -> None:
         """Write a final answer without any handler, and close."""
         headers = [
             (b"content-type", b"text/plain; charset=utf-8"),
--- a/src/wagtailstep/network/http_server.py
+++ b/src/wagtailstep/network/http_server.py
@@ -53,17 +53,17 @@
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
-            self.make_connection, host, int(port), backlog=BACKLOG
+            self.create_connection, host, int(port), backlog=BACKLOG
         )
         bound = self.server.sockets[0].getsockname()
         return f"{bound[0]}:{bound[1]}"
 
-    def make_connection(self) -> ServerConnection:
+    def create_connection(self) -> ServerConnection:
         """Return the protocol of a new connection."""
         connection = ServerConnection(
             config=self.config, server_state=self.state, app_state={}
         )
-        connection.on_lost = self.connection_lost.set
+        connection.on_connection_lost = self.connection_lost.set
         return connection
 
     def stop_accepting(self) -> None:
--- a/src/wagtailstep/network/load_player.py
+++ b/src/wagtailstep/network/load_generator.py
@@ -21,9 +21,11 @@
 from wagtailstep.utils.clock import Clock
 
 # A caller hears what a system says at its own time limit.
-GRACE = timedelta(milliseconds=500)
-REFUSALS = frozenset({HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE})
-DEFAULT_RETRY_S = 1.0
+TIMEOUT_MARGIN = timedelta(milliseconds=500)
+REFUSAL_STATUSES = frozenset(
+    {HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE}
+)
+DEFAULT_RETRY_AFTER_S = 1.0
 
 
 @attrs.frozen
@@ -35,10 +37,10 @@
     """
 
     status: int
-    retry_after_s: float = DEFAULT_RETRY_S
+    retry_after_s: float = DEFAULT_RETRY_AFTER_S
 
 
-class LoadPlayer:
+class LoadGenerator:
     """Play a load at its sides, one after the other.
 
     :param settings: the load.
@@ -59,22 +61,24 @@
         self.rng = random.Random(settings.seed)
         self.sides = [SideResult(side.name) for side in settings.sides]
 
-    async def play(self) -> list[SideResult]:
+    async def run(self) -> list[SideResult]:
         """Play all slices and return what each side answered."""
         for number in range(self.settings.slices):
             arrivals = plan_slice(self.settings, number)
             for index in order_sides(self.settings, number):
-                results = await self.play_slice(arrivals, index)
+                results = await self.run_slice(arrivals, index)
                 self.sides[index].slices.append(results)
                 self.on_slice()
         self.client.close()
         return self.sides
 
-    async def play_slice(
+    async def run_slice(
         self, arrivals: list[Arrival], index: int
     ) -> dict[str, ClassResult]:
         """Play a slice at one side and wait for its last answer."""
-        results = {kind.name: ClassResult() for kind in self.settings.classes}
+        results = {
+            request_class.name: ClassResult() for request_class in self.settings.classes
+        }
         started = self.clock.monotonic()
         async with asyncio.TaskGroup() as group:
             for arrival in arrivals:
@@ -87,10 +91,10 @@
                     if is_measured
                     else ClassResult()
                 )
-                group.create_task(self.ask(arrival, index, due, result))
+                group.create_task(self.run_arrival(arrival, index, due, result))
         return results
 
-    async def ask(
+    async def run_arrival(
         self, arrival: Arrival, index: int, due: timedelta, result: ClassResult
     ) -> None:
         """Bring one request to its end, as its caller would.
@@ -99,78 +103,85 @@
         :param result: where it is counted.
         """
         result.asked += 1
-        kind = arrival.request_class
-        patience = None
+        request_class = arrival.request_class
+        cancel_after_s = None
         if arrival.cancels_early:
-            patience = kind.give_up_ms / 1_000
+            cancel_after_s = request_class.give_up_ms / 1_000
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(cancel_after_s):
                 reply = await self.send_with_retries(arrival, index)
         except TimeoutError:
             result.gave_up += 1
             return
         latency_ms = (self.clock.monotonic() - due) / timedelta(milliseconds=1)
         if 200 <= reply.status < 300:
-            result.add_served(latency_ms, kind.aim_ms)
-        elif reply.status in REFUSALS:
+            result.add_served(latency_ms, request_class.aim_ms)
+        elif reply.status in REFUSAL_STATUSES:
             result.refused += 1
         else:
             result.failed += 1
 
     async def send_with_retries(self, arrival: Arrival, index: int) -> Reply:
         """Send a request, and again after refusals, as often as its class says."""
-        kind = arrival.request_class
+        request_class = arrival.request_class
         addresses = self.settings.sides[index].addresses
         address = addresses[int(arrival.daemon_draw * len(addresses))]
-        reply = await self.send(address, kind)
-        for _ in range(kind.retries):
-            if reply.status not in REFUSALS:
+        reply = await self.send_once(address, request_class)
+        for _ in range(request_class.retries):
+            if reply.status not in REFUSAL_STATUSES:
                 break
-            if kind.waits_as_told:
+            if request_class.waits_as_told:
                 await asyncio.sleep(reply.retry_after_s)
-            reply = await self.send(self.rng.choice(addresses), kind)
+            reply = await self.send_once(self.rng.choice(addresses), request_class)
         return reply
 
-    async def send(self, address: str, kind: LoadClass) -> Reply:
+    async def send_once(self, address: str, request_class: LoadClass) -> Reply:
         """Send a request once."""
-        time_left = timedelta(milliseconds=kind.timeout_ms)
+        time_left = timedelta(milliseconds=request_class.timeout_ms)
         try:
-            answer = await self.client.send(make_request(address, kind, time_left))
+            answer = await self.client.send(
+                build_request(address, request_class, time_left)
+            )
             status, headers = answer.status, answer.headers
             await read_whole(answer)
         except RequestError:
             return Reply(0)
-        return Reply(status, read_seconds(find_header(headers, "retry-after")))
+        return Reply(status, parse_retry_after(find_header(headers, "retry-after")))
 
 
-def make_request(address: str, kind: LoadClass, time_left: timedelta) -> HttpRequest:
+def build_request(
+    address: str, request_class: LoadClass, time_left: timedelta
+) -> HttpRequest:
     """Return one request of a class."""
-    headers = ((TIMEOUT_MS, str(kind.timeout_ms)), *kind.headers.items())
+    headers = (
+        (TIMEOUT_MS, str(request_class.timeout_ms)),
+        *request_class.headers.items(),
+    )
     if find_header(headers, "host") is None:
         headers = (("host", address), *headers)
     body = None
-    if kind.body_bytes:
-        headers = (*headers, ("content-length", str(kind.body_bytes)))
-        body = yield_filling(kind.body_bytes)
+    if request_class.body_bytes:
+        headers = (*headers, ("content-length", str(request_class.body_bytes)))
+        body = yield_padding(request_class.body_bytes)
     return HttpRequest(
         address=address,
-        method=kind.method,
-        path=kind.path,
+        method=request_class.method,
+        path=request_class.path,
         headers=headers,
         body=body,
-        idempotent=kind.method == "GET",
-        time_left=time_left + GRACE,
+        idempotent=request_class.method == "GET",
+        time_left=time_left + TIMEOUT_MARGIN,
     )
 
 
-async def yield_filling(size: int) -> AsyncIterator[bytes]:
+async def yield_padding(size: int) -> AsyncIterator[bytes]:
     """Yield a body of a size."""
     yield b"x" * size
 
 
-def read_seconds(text: str | None) -> float:
+def parse_retry_after(text: str | None) -> float:
     """Return the seconds of ``Retry-After``, or a default if it has none."""
     try:
         return float(text or "")
     except ValueError:
-        return DEFAULT_RETRY_S
+        return DEFAULT_RETRY_AFTER_S
--- a/src/wagtailstep/network/log_client.py
+++ b/src/wagtailstep/network/log_client.py
@@ -22,7 +22,7 @@
 _OK = 200
 _GONE = 410
 # The service answers these before it does anything with the request.
-_WITHOUT_EFFECT = frozenset({400, 404, 413, 429, 503})
+_NOT_APPLIED_STATUSES = frozenset({400, 404, 413, 429, 503})
 
 _T = TypeVar("_T")
 
@@ -51,7 +51,7 @@
         if reply.status == _CREATED:
             return _decode(reply, AppendReply).offset
         text = f"append to stream {stream!r} got HTTP status {reply.status}"
-        if reply.status in _WITHOUT_EFFECT:
+        if reply.status in _NOT_APPLIED_STATUSES:
             raise LogUnavailableError(f"{text} and had no effect; try again later")
         raise AppendUnknownError(f"{text} and may have taken effect; read to find out")
 
@@ -90,17 +90,17 @@
     return f"/streams/{quote(stream, safe='')}"
 
 
-def _decode_ok(reply: HttpReply, kind: type[_T]) -> _T:
+def _decode_ok(reply: HttpReply, reply_type: type[_T]) -> _T:
     if reply.status != _OK:
         raise LogUnavailableError(f"the log answered with HTTP status {reply.status}")
-    return _decode(reply, kind)
+    return _decode(reply, reply_type)
 
 
-def _decode(reply: HttpReply, kind: type[_T]) -> _T:
+def _decode(reply: HttpReply, reply_type: type[_T]) -> _T:
     try:
-        return msgspec.json.decode(reply.body, type=kind)
+        return msgspec.json.decode(reply.body, type=reply_type)
     except msgspec.MsgspecError as error:
         text = f"the log's answer (HTTP status {reply.status}) is malformed: {error}"
-        if kind is AppendReply:
+        if reply_type is AppendReply:
             raise AppendUnknownError(text) from error
         raise LogUnavailableError(text) from error
--- a/src/wagtailstep/network/log_daemon.py
+++ b/src/wagtailstep/network/log_daemon.py
@@ -18,7 +18,7 @@
     Parameters are those of :class:`wagtailstep.network.daemon.Daemon`.
     """
 
-    def make_controllers(self) -> tuple[Controller, ...]:
+    def create_controllers(self) -> tuple[Controller, ...]:
         """Return the controllers; each sees what those before it wrote for an event."""
         parts = (self.settings, self.blackboard, self.clock, self.rng)
         return (
@@ -33,6 +33,6 @@
             self.metrics,
         )
 
-    def find_log(self) -> LogService:
+    def create_log_service(self) -> LogService:
         """Return the platform's log service."""
         return HttpLogService(self.settings.log)
--- a/src/wagtailstep/network/log_follower.py
+++ b/src/wagtailstep/network/log_follower.py
@@ -32,7 +32,7 @@
     :param log: the log service.
     :param stream: name of the stream.
     :param dispatch: takes the events.
-    :param report: told after each read whether the log service was reachable.
+    :param report_reachability: told after each read whether the log service was reachable.
     :param rng: spreads the reads of many daemons over time.
     """
 
@@ -42,17 +42,17 @@
         log: LogService,
         stream: str,
         dispatch: Callable[[Any], None],
-        report: Callable[[bool], None],
+        report_reachability: Callable[[bool], None],
         rng: random.Random,
     ) -> None:
         self.settings = settings
         self.log = log
         self.stream = stream
         self.dispatch = dispatch
-        self.report = report
+        self.report_reachability = report_reachability
         self.rng = rng
         self.offset: int | None = None
-        self.failures = 0
+        self.consecutive_failures = 0
         self.wake_up = asyncio.Event()
 
     async def run(self) -> None:
@@ -60,7 +60,7 @@
         while True:
             more_to_read = await self.read_once()
             if not more_to_read:
-                await self.wait()
+                await self.wait_for_next_read()
 
     async def read_once(self) -> bool:
         """Read one batch and dispatch it.
@@ -70,19 +70,19 @@
         try:
             if self.offset is None:
                 self.offset = await self.log.oldest_offset(self.stream)
-            asked_at = timedelta(seconds=asyncio.get_running_loop().time())
+            requested_at = timedelta(seconds=asyncio.get_running_loop().time())
             batch = await self.log.read(self.stream, self.offset, READ_LIMIT)
         except RecordExpiredError as error:
-            self.skip_to(error.oldest)
+            self.resume_at_oldest(error.oldest)
             return True
         except LogError as error:
-            self.note_failure(error)
+            self.record_failure(error)
             return False
-        self.failures = 0
-        self.report(True)
-        return self.take(batch, asked_at)
+        self.consecutive_failures = 0
+        self.report_reachability(True)
+        return self.handle_batch(batch, requested_at)
 
-    def skip_to(self, oldest_offset: int) -> None:
+    def resume_at_oldest(self, oldest_offset: int) -> None:
         """Go on at the oldest retained record and tell the controllers."""
         log_event(
             LOGGER,
@@ -95,24 +95,24 @@
         self.offset = oldest_offset
         self.dispatch(LogGap(self.stream, oldest_offset))
 
-    def take(self, batch: LogBatch, asked_at: timedelta) -> bool:
+    def handle_batch(self, batch: LogBatch, requested_at: timedelta) -> bool:
         """Dispatch a batch and move on.
 
-        :param asked_at: monotonic time when the read was sent.
+        :param requested_at: monotonic time when the read was sent.
         :return: whether there may be more records now.
         """
         self.offset = batch.next_offset
         if batch.records:
             self.dispatch(LogRecordsRead(self.stream, batch.records))
             return True
-        self.dispatch(LogCaughtUp(self.stream, batch.next_offset, asked_at))
+        self.dispatch(LogCaughtUp(self.stream, batch.next_offset, requested_at))
         return False
 
-    def note_failure(self, error: LogError) -> None:
+    def record_failure(self, error: LogError) -> None:
         """Remember that the log service could not be read."""
-        self.failures += 1
-        self.report(False)
-        if self.failures == 1:
+        self.consecutive_failures += 1
+        self.report_reachability(False)
+        if self.consecutive_failures == 1:
             log_event(
                 LOGGER,
                 "log-unreachable",
@@ -121,13 +121,13 @@
                 error=error,
             )
 
-    async def wait(self) -> None:
+    async def wait_for_next_read(self) -> None:
         """Wait for the next read: a poll interval, more while reads fail."""
-        base_ms = self.settings.poll_ms * 2 ** min(self.failures, 8)
+        base_ms = self.settings.poll_ms * 2 ** min(self.consecutive_failures, 8)
         wait_ms = min(base_ms, max(MAX_BACKOFF_MS, self.settings.poll_ms))
         wait_ms *= self.rng.uniform(0.75, 1.25)
         try:
-            await asyncio.wait_for(self.wake_up.wait(), wait_ms / 1_000)
+            await asyncio.wait_for(self.wake_up.wait_for_next_read(), wait_ms / 1_000)
         except TimeoutError:
             pass
         self.wake_up.clear()
--- a/src/wagtailstep/network/memory_channel.py
+++ b/src/wagtailstep/network/memory_channel.py
@@ -13,7 +13,7 @@
 class LinkRules:
     """What happens to messages on their way.
 
-    :param cuts: pairs of sender and receiver whose messages are lost; the other
+    :param blocked_links: pairs of sender and receiver whose messages are lost; the other
         direction is not affected.
     :param loss: probability that a message is lost.
     :param duplication: probability that a message arrives twice.
@@ -21,18 +21,20 @@
         different times overtake each other.
     """
 
-    cuts: set[tuple[str, str]] = attrs.field(factory=set)
+    blocked_links: set[tuple[str, str]] = attrs.field(factory=set)
     loss: float = 0.0
     duplication: float = 0.0
     delay_ms: tuple[float, float] = (0.0, 0.0)
 
-    def cut(self, senders: list[str], receivers: list[str]) -> None:
+    def block(self, senders: list[str], receivers: list[str]) -> None:
         """Lose all messages from some daemons to others, one way only."""
-        self.cuts.update((a, b) for a in senders for b in receivers if a != b)
+        self.blocked_links.update((a, b) for a in senders for b in receivers if a != b)
 
-    def delays(self, sender: str, receiver: str, rng: random.Random) -> list[float]:
+    def draw_delays(
+        self, sender: str, receiver: str, rng: random.Random
+    ) -> list[float]:
         """Return the delay in milliseconds of each copy that arrives."""
-        if (sender, receiver) in self.cuts or rng.random() < self.loss:
+        if (sender, receiver) in self.blocked_links or rng.random() < self.loss:
             return []
         copies = 2 if rng.random() < self.duplication else 1
         return [rng.uniform(*self.delay_ms) for _ in range(copies)]
@@ -77,7 +79,7 @@
         receiver = self.network.receivers.get(address)
         if receiver is None:
             return
-        delays = self.network.rules.delays(
+        delays = self.network.rules.draw_delays(
             self.daemon_id, receiver.daemon_id, self.network.rng
         )
         loop = asyncio.get_running_loop()
--- a/src/wagtailstep/network/metrics.py
+++ b/src/wagtailstep/network/metrics.py
@@ -65,19 +65,19 @@
         self.attempts = self.meter.create_counter(
             "wagtailstep.attempts", unit="1", description="Attempts that ended."
         )
-        self.latency = self.meter.create_histogram(
+        self.attempt_latency = self.meter.create_histogram(
             "wagtailstep.attempt.duration",
             unit="s",
             description="Time from sending to the head of the answer or the failure.",
         )
-        self.work = self.meter.create_histogram(
+        self.work_duration = self.meter.create_histogram(
             "wagtailstep.work.duration",
             unit="s",
             description="Time that the backend server beside this daemon worked.",
         )
-        self.observe_blackboard()
+        self.add_blackboard_gauges()
 
-    def observe_blackboard(self) -> None:
+    def add_blackboard_gauges(self) -> None:
         """Register the gauges."""
         gauges = {
             "wagtailstep.table.version": lambda: self.blackboard.table.version,
@@ -87,12 +87,14 @@
             "wagtailstep.log.reachable": lambda: int(self.blackboard.log_reachable),
         }
         for name, read in gauges.items():
-            self.meter.create_observable_gauge(name, [_make_callback(read)])
+            self.meter.create_observable_gauge(name, [_create_gauge_callback(read)])
         self.meter.create_observable_gauge(
-            "wagtailstep.table.age", [_make_callback(self.read_table_age)], unit="s"
+            "wagtailstep.table.age",
+            [_create_gauge_callback(self.compute_table_age)],
+            unit="s",
         )
 
-    def watch_services(
+    def add_service_gauge(
         self, name: str, unit: str, read: Callable[[], Mapping[str, float]]
     ) -> None:
         """Register a gauge with a value for each service.
@@ -106,11 +108,11 @@
 
         self.meter.create_observable_gauge(name, [observe], unit=unit)
 
-    def read_table_age(self) -> float:
+    def compute_table_age(self) -> float:
         """Return the seconds since the table in force came into force."""
         return (self.clock.monotonic() - self.table_since) / timedelta(seconds=1)
 
-    def count_store_call(self, outcome: str) -> None:
+    def record_store_call(self, outcome: str) -> None:
         """Count a call to the platform's store that ended."""
         self.store_calls.add(1, {"outcome": outcome})
 
@@ -126,7 +128,7 @@
             self.request_latency.record(event.took.total_seconds(), route)
         if isinstance(event, WorkEnded):
             result = {"result": event.result.value}
-            self.work.record(event.took.total_seconds(), result)
+            self.work_duration.record(event.took.total_seconds(), result)
         if isinstance(event, RequestOutcome):
             attributes = {
                 "service": event.request.service,
@@ -135,7 +137,7 @@
             }
             self.attempts.add(1, attributes)
             service = {"service": event.request.service}
-            self.latency.record(event.latency.total_seconds(), service)
+            self.attempt_latency.record(event.latency.total_seconds(), service)
         return []
 
     def export_text(self) -> bytes:
@@ -148,7 +150,7 @@
         return "{}" if data is None else data.to_json(indent=None)
 
 
-def _make_callback(read: Any) -> Any:
+def _create_gauge_callback(read: Any) -> Any:
     def observe(_: CallbackOptions) -> Iterable[Observation]:
         yield Observation(read())
 
--- a/src/wagtailstep/network/peer_channel.py
+++ b/src/wagtailstep/network/peer_channel.py
@@ -58,14 +58,14 @@
 
     :param socket: a DEALER socket.
     :param opened_at: milliseconds of the clock.
-    :param used_at: milliseconds of the clock.
+    :param last_used_at: milliseconds of the clock.
     :param pending: messages that wait for the connection, with the time in
         milliseconds at which each is dropped.
     """
 
     socket: zmq.Socket
     opened_at: float
-    used_at: float
+    last_used_at: float
     pending: deque[tuple[float, list[bytes]]] = attrs.field(factory=deque)
 
 
@@ -90,7 +90,7 @@
         self.router: zmq.asyncio.Socket | None = None
         self.connections: dict[str, PeerConnection] = {}
         self.retired: list[zmq.Socket] = []
-        self.reported: set[bytes] = set()
+        self.reported_senders: set[bytes] = set()
         self.tasks: list[asyncio.Task[None]] = []
         self.retry_needed = asyncio.Event()
 
@@ -108,9 +108,9 @@
         self.address = endpoint.removeprefix("tcp://")
         self.router = router
         self.tasks = [
-            asyncio.ensure_future(self._receive_all(router, deliver)),
-            asyncio.ensure_future(self._retry_all()),
-            asyncio.ensure_future(self._sweep_all()),
+            asyncio.ensure_future(self._run_receiver(router, deliver)),
+            asyncio.ensure_future(self._run_retries()),
+            asyncio.ensure_future(self._run_sweeps()),
         ]
 
     def send(self, address: str, message: object, urgent: bool = False) -> None:
@@ -124,9 +124,9 @@
         if connection is None:
             self.counters.dropped += 1
             return
-        connection.used_at = self._now_ms()
+        connection.last_used_at = self._now_ms()
         if connection.pending or not self._send_now(connection, frames):
-            self._wait_for_connection(connection, frames, urgent)
+            self._queue_for_connection(connection, frames, urgent)
 
     async def close(self) -> None:
         """Stop receiving, drop what was not sent, and log what was carried."""
@@ -152,7 +152,7 @@
         if connection is not None:
             return connection
         if len(self.connections) >= MAX_CONNECTIONS:
-            self._retire_least_used()
+            self._retire_least_recently_used()
         now = self._now_ms()
         socket = self._open_socket(address)
         if socket is None:
@@ -192,7 +192,7 @@
         self.counters.sent_bytes += sum(map(len, frames))
         return True
 
-    def _wait_for_connection(
+    def _queue_for_connection(
         self, connection: PeerConnection, frames: list[bytes], urgent: bool
     ) -> None:
         if len(connection.pending) >= MAX_PENDING:
@@ -205,7 +205,7 @@
             connection.pending.append(item)
         self.retry_needed.set()
 
-    async def _retry_all(self) -> None:
+    async def _run_retries(self) -> None:
         while True:
             await self.retry_needed.wait()
             self.retry_needed.clear()
@@ -227,14 +227,14 @@
                 self.retry_needed.set()
                 return
 
-    async def _sweep_all(self) -> None:
+    async def _run_sweeps(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_MS / 1_000)
             while self.retired:
                 self.retired.pop().close()
             now = self._now_ms()
             for address, connection in list(self.connections.items()):
-                idle = now - connection.used_at >= IDLE_TIMEOUT_MS
+                idle = now - connection.last_used_at >= IDLE_TIMEOUT_MS
                 old = now - connection.opened_at >= MAX_CONNECTION_AGE_MS
                 if (idle or old) and not connection.pending:
                     self._retire(address)
@@ -243,11 +243,13 @@
         # It is closed at the next sweep, so that what was just sent still leaves.
         self.retired.append(self.connections.pop(address).socket)
 
-    def _retire_least_used(self) -> None:
-        least = min(self.connections, key=lambda name: self.connections[name].used_at)
-        self._retire(least)
+    def _retire_least_recently_used(self) -> None:
+        least_recently_used = min(
+            self.connections, key=lambda name: self.connections[name].last_used_at
+        )
+        self._retire(least_recently_used)
 
-    async def _receive_all(
+    async def _run_receiver(
         self, router: zmq.asyncio.Socket, deliver: Callable[[str, object], None]
     ) -> None:
         while True:
@@ -275,9 +277,12 @@
     def _report_malformed(self, frames: list[bytes], error: Exception) -> None:
         self.counters.malformed += 1
         sender = frames[1] if len(frames) == 3 else b""
-        if sender in self.reported or len(self.reported) >= MAX_REPORTED_SENDERS:
+        if (
+            sender in self.reported_senders
+            or len(self.reported_senders) >= MAX_REPORTED_SENDERS
+        ):
             return
-        self.reported.add(sender)
+        self.reported_senders.add(sender)
         log_event(
             LOGGER,
             "message-malformed",
--- a/src/wagtailstep/network/prober.py
+++ b/src/wagtailstep/network/prober.py
@@ -42,12 +42,12 @@
     async def probe(self, effect: ProbeTarget) -> ProbeFinished:
         """Probe one target; a target that is not known any more has failed."""
         started = self.clock.monotonic()
-        succeeded = await self.ask(effect)
+        succeeded = await self.send_probe(effect)
         return ProbeFinished(
             effect.target_id, succeeded, self.clock.monotonic() - started
         )
 
-    async def ask(self, effect: ProbeTarget) -> bool:
+    async def send_probe(self, effect: ProbeTarget) -> bool:
         """Return whether the target answered well in time."""
         target = self.blackboard.targets.get(effect.target_id)
         gate = target and self.blackboard.members.get(target.daemon_id)
@@ -55,16 +55,16 @@
             return False
         path = self.settings.probe_path
         incoming = IncomingRequest("GET", path, (), yield_body(b""))
-        request = self.make_request(target.service, path, effect.timeout)
+        request = self.build_request(target.service, path, effect.timeout)
         try:
             answer = await self.forwarder.forward(
                 request, gate, target.target_id, incoming, effect.timeout
             )
-            return await self.read_whole(answer)
+            return await self.drain_response(answer)
         except RequestError:
             return False
 
-    def make_request(
+    def build_request(
         self, service: str, path: str, timeout: timedelta
     ) -> RequestContext:
         """Return the context of a probe."""
@@ -80,7 +80,7 @@
             deadline=self.clock.monotonic() + timeout,
         )
 
-    async def read_whole(self, answer: Answer) -> bool:
+    async def drain_response(self, answer: Answer) -> bool:
         """Read an answer to its end and judge its status."""
         try:
             async for _ in answer.body:
--- a/src/wagtailstep/network/runtime.py
+++ b/src/wagtailstep/network/runtime.py
@@ -42,7 +42,7 @@
 
 
 @attrs.define
-class Outside:
+class RuntimeAdapters:
     """What the runtime reaches the outside with.
 
     :param log: the platform's log service.
@@ -64,7 +64,7 @@
     :param blackboard: what the daemon knows.
     :param clock: gives the time of recorded events.
     :param rng: seeded random generator.
-    :param outside: adapters that carry out effects.
+    :param adapters: adapters that carry out effects.
     """
 
     def __init__(
@@ -73,15 +73,15 @@
         blackboard: Blackboard,
         clock: Clock,
         rng: random.Random,
-        outside: Outside,
+        adapters: RuntimeAdapters,
     ) -> None:
         self.settings = settings
         self.blackboard = blackboard
         self.rng = rng
-        self.outside = outside
+        self.adapters = adapters
         self.timeline = Timeline(settings, blackboard, clock)
         self.handlers: list[tuple[Controller, Callable[[Any], list[Any]]]] = []
-        self.listeners: dict[type, Callable[[Any], None]] = {}
+        self.effect_handlers: dict[type, Callable[[Any], None]] = {}
         self.followers: dict[str, LogFollower] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -97,7 +97,7 @@
 
     async def start(self) -> None:
         """Start receiving messages and ticking."""
-        await self.outside.channel.start(self.receive)
+        await self.adapters.channel.start(self.handle_peer_message)
         self.spawn(self.run_ticks())
 
     async def close(self) -> None:
@@ -105,7 +105,7 @@
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        await self.outside.channel.close()
+        await self.adapters.channel.close()
 
     def dispatch(self, event: Any) -> None:
         """Give one event to each controller in turn and apply the effects.
@@ -127,13 +127,13 @@
     def apply_all(self, effects: Sequence[Any]) -> None:
         """Apply effects in order."""
         for effect in effects:
-            listener = self.listeners.get(type(effect))
+            listener = self.effect_handlers.get(type(effect))
             if listener is None:
                 apply_effect(effect, self)
             else:
                 listener(effect)
 
-    def receive(self, sender: str, message: object) -> None:
+    def handle_peer_message(self, sender: str, message: object) -> None:
         """Take a message of another daemon from the control channel."""
         if not isinstance(message, StampedMessage):
             log_event(LOGGER, "message-not-stamped", logging.WARNING, sender=sender)
@@ -158,9 +158,9 @@
         """Run a coroutine until it ends or the runtime closes."""
         task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self.end_task)
+        task.add_done_callback(self.handle_task_done)
 
-    def end_task(self, task: asyncio.Task[None]) -> None:
+    def handle_task_done(self, task: asyncio.Task[None]) -> None:
         """Forget a task; one that failed is a fault of this program and is logged."""
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
@@ -172,7 +172,7 @@
         self.timeline.record(kind, texts)
         log_event(LOGGER, kind, **texts)
 
-    def report_log(self, reachable: bool) -> None:
+    def record_log_reachability(self, reachable: bool) -> None:
         """Note whether the log service answers; changes become events."""
         if reachable == self.blackboard.log_reachable:
             return
@@ -186,9 +186,9 @@
         offset = None
         may_have_applied = False
         try:
-            offset = await self.outside.log.append(effect.stream, data)
+            offset = await self.adapters.log.append(effect.stream, data)
         except LogUnavailableError:
-            self.report_log(False)
+            self.record_log_reachability(False)
         except LogError:
             may_have_applied = True
         self.wake_follower(effect.stream)
@@ -212,10 +212,10 @@
             settings = attrs.evolve(settings, poll_ms=poll_ms)
         follower = LogFollower(
             settings,
-            self.outside.log,
+            self.adapters.log,
             stream,
             self.dispatch,
-            self.report_log,
+            self.record_log_reachability,
             self.rng,
         )
         self.followers[stream] = follower
@@ -226,7 +226,7 @@
         data = effect.peer_address.encode()
         succeeded = True
         try:
-            await self.outside.store.put(Collection.MEMBERS, effect.daemon_id, data)
+            await self.adapters.store.put(Collection.MEMBERS, effect.daemon_id, data)
         except LogError as error:
             succeeded = False
             log_event(LOGGER, "member-not-registered", error=error)
@@ -240,7 +240,7 @@
     async def list_members(self) -> None:
         """Read the registry of members and dispatch what it names."""
         try:
-            records = await self.outside.store.read_newest(Collection.MEMBERS)
+            records = await self.adapters.store.read_newest(Collection.MEMBERS)
         except LogError as error:
             log_event(LOGGER, "members-not-listed", error=error)
             return
@@ -253,7 +253,7 @@
 
     async def run_probe(self, effect: ProbeTarget) -> None:
         """Probe a target and dispatch the result."""
-        self.dispatch(await self.outside.probe(effect))
+        self.dispatch(await self.adapters.probe(effect))
 
 
 @functools.singledispatch
@@ -269,7 +269,7 @@
 def _(effect: SendToPeer, runtime: Runtime) -> None:
     body = encode_message(effect.message)
     stamped = StampedMessage(runtime.timeline.stamp_message(), body)
-    runtime.outside.channel.send(effect.address, stamped, effect.urgent)
+    runtime.adapters.channel.send(effect.address, stamped, effect.urgent)
 
 
 @apply_effect.register
--- a/src/wagtailstep/network/silence.py
+++ b/src/wagtailstep/network/silence.py
@@ -61,7 +61,7 @@
         self.loop = asyncio.get_running_loop()
         self.started_at = self.loop.time()
         self.task: asyncio.Task[None] | None = None
-        self.interval = request.silence_after.total_seconds()
+        self.interval = request.silence_timeout.total_seconds()
         self.timer = self.loop.call_later(self.interval, self.begin)
 
     def begin(self) -> None:
--- a/src/wagtailstep/network/table_follower.py
+++ b/src/wagtailstep/network/table_follower.py
@@ -18,13 +18,13 @@
 # passes on what it reads; see docs/design/platform.md. That takes about as many calls
 # a second of all daemons together, so in large fleets each waits for longer.
 CALLS_PER_S = 4.0
-LEAST_MEAN_WAIT_S = 7.0
+MIN_MEAN_WAIT_S = 7.0
 # With the spread below the 30 s for which the store lets a read wait.
-MOST_MEAN_WAIT_S = 20.0
+MAX_MEAN_WAIT_S = 20.0
 WAIT_SPREAD = 0.4
 # A store that refuses calls is asked again within its bound for changes, 2 s.
-FIRST_BACKOFF_S = 0.2
-LONGEST_BACKOFF_S = 1.5
+INITIAL_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 1.5
 
 FindDocument = Callable[[KeyedRecords], TableDocument | None]
 
@@ -36,7 +36,7 @@
     :param find_document: finds the table's document among records; it raises
         :class:`DecodeError` if it can't be read.
     :param dispatch: takes :class:`TablePublished`.
-    :param report: told after each call whether the store was reachable.
+    :param report_reachability: told after each call whether the store was reachable.
     :param rng: draws waits and pauses.
     :param count_daemons: returns how many daemons follow the table, as known now.
     """
@@ -46,14 +46,14 @@
         store: KeyedStore,
         find_document: FindDocument,
         dispatch: Callable[[Any], None],
-        report: Callable[[bool], None],
+        report_reachability: Callable[[bool], None],
         rng: random.Random,
         count_daemons: Callable[[], int] = lambda: 1,
     ) -> None:
         self.store = store
         self.find_document = find_document
         self.dispatch = dispatch
-        self.report = report
+        self.report_reachability = report_reachability
         self.rng = rng
         self.count_daemons = count_daemons
         self.offset: int | None = None
@@ -68,12 +68,12 @@
                 log_event(LOGGER, "table-history-lost", oldest_offset=error.oldest)
                 self.offset = None
             except LogError as error:
-                self.report(False)
+                self.report_reachability(False)
                 await self.back_off(error)
             else:
                 self.backoff_s = 0.0
-                self.report(True)
-                self.take(records)
+                self.report_reachability(True)
+                self.handle_records(records)
 
     async def read(self) -> KeyedRecords:
         """Read the newest records, or wait for those that follow.
@@ -82,17 +82,17 @@
         """
         if self.offset is None:
             return await self.store.read_newest(Collection.TABLE)
-        wait = self.draw_wait()
+        wait = self.choose_wait()
         return await self.store.read_changes(Collection.TABLE, self.offset, wait)
 
-    def draw_wait(self) -> timedelta:
+    def choose_wait(self) -> timedelta:
         """Return how long the next read may wait for a change."""
         mean_s = self.count_daemons() / CALLS_PER_S
-        mean_s = min(MOST_MEAN_WAIT_S, max(LEAST_MEAN_WAIT_S, mean_s))
+        mean_s = min(MAX_MEAN_WAIT_S, max(MIN_MEAN_WAIT_S, mean_s))
         factor = self.rng.uniform(1 - WAIT_SPREAD, 1 + WAIT_SPREAD)
         return timedelta(seconds=mean_s * factor)
 
-    def take(self, records: KeyedRecords) -> None:
+    def handle_records(self, records: KeyedRecords) -> None:
         """Dispatch the document among records, if there is one."""
         self.offset = records.next_offset
         try:
@@ -105,8 +105,8 @@
 
     async def back_off(self, error: LogError) -> None:
         """Wait before the next call; longer after each failure."""
-        doubled = max(FIRST_BACKOFF_S, 2 * self.backoff_s)
+        doubled = max(INITIAL_BACKOFF_S, 2 * self.backoff_s)
         if not self.backoff_s:
             log_event(LOGGER, "store-call-failed", logging.WARNING, error=error)
-        self.backoff_s = min(LONGEST_BACKOFF_S, doubled)
+        self.backoff_s = min(MAX_BACKOFF_S, doubled)
         await asyncio.sleep(self.backoff_s * self.rng.uniform(0.5, 1.5))
--- a/src/wagtailstep/platform/daemon.py
+++ b/src/wagtailstep/platform/daemon.py
@@ -30,13 +30,13 @@
     def __init__(self, settings: PlatformSettings, clock: Clock) -> None:
         self.store = PlatformStore(settings.store, clock)
         super().__init__(settings.daemon, clock)
-        self.store.calls.on_end = self.metrics.count_store_call
+        self.store.calls.on_end = self.metrics.record_store_call
 
-    def find_store(self) -> KeyedStore:
+    def get_keyed_store(self) -> KeyedStore:
         """Return the platform's store."""
         return self.store
 
-    def make_controllers(self) -> tuple[Controller, ...]:
+    def create_controllers(self) -> tuple[Controller, ...]:
         """Return the controllers; the table comes whole and gates judge targets."""
         parts = (self.settings, self.blackboard, self.clock, self.rng)
         return (
@@ -51,7 +51,7 @@
             self.metrics,
         )
 
-    def add_announcements(self, app: Application) -> None:
+    def add_target_routes(self, app: Application) -> None:
         """Take heartbeats in place of announcements."""
         add_heartbeat_routes(app, self.runtime.dispatch, self.settings, self.clock)
 
@@ -62,7 +62,7 @@
             self.store,
             find_document,
             self.runtime.dispatch,
-            self.runtime.report_log,
+            self.runtime.record_log_reachability,
             self.rng,
             lambda: len(self.blackboard.members),
         )
