--- a/src/wagtailstep/network/daemon_client.py
+++ b/src/wagtailstep/network/daemon_client.py
@@ -58,12 +58,12 @@
             idempotent=True,
             time_left=REQUEST_TIMEOUT,
         )
-        answer = await self.client.send(request)
-        data = await read_whole(answer)
+        response = await self.client.send(request)
+        data = await read_whole(response)
         try:
-            if answer.status == STATUS_OK:
+            if response.status == STATUS_OK:
                 return msgspec.json.decode(data, type=response_type)
         except msgspec.MsgspecError:
             pass
-        message = f"{address} is not a daemon: it answered with {answer.status}"
+        message = f"{address} is not a daemon: it answered with {response.status}"
         raise ConnectionFailedError(message, Verdict.RUN)
--- a/src/wagtailstep/network/load_generator.py
+++ b/src/wagtailstep/network/load_generator.py
@@ -139,11 +139,11 @@
         """Send a request once."""
         time_left = timedelta(milliseconds=request_class.timeout_ms)
         try:
-            answer = await self.client.send(
+            response = await self.client.send(
                 build_request(address, request_class, time_left)
             )
-            status, headers = answer.status, answer.headers
-            await read_whole(answer)
+            status, headers = response.status, response.headers
+            await read_whole(response)
         except RequestError:
             return Reply(0)
         return Reply(status, parse_retry_after(find_header(headers, "retry-after")))
--- a/src/wagtailstep/network/log_client.py
+++ b/src/wagtailstep/network/log_client.py
@@ -61,9 +61,11 @@
         reply = await self.calls.read(f"{_path(stream)}/records?{query}", self.timeout)
         if reply.status == _GONE:
             raise RecordExpiredError(_decode(reply, StreamReply).oldest_offset)
-        answer = _decode_ok(reply, ReadReply)
-        records = tuple(LogRecord(item.offset, item.data) for item in answer.records)
-        return LogBatch(records, answer.next_offset, answer.oldest_offset)
+        read_reply = _decode_ok(reply, ReadReply)
+        records = tuple(
+            LogRecord(item.offset, item.data) for item in read_reply.records
+        )
+        return LogBatch(records, read_reply.next_offset, read_reply.oldest_offset)
 
     async def oldest_offset(self, stream: str) -> int:
         """Return the oldest offset; see :meth:`LogService.oldest_offset`."""
--- a/src/wagtailstep/network/log_follower.py
+++ b/src/wagtailstep/network/log_follower.py
@@ -127,7 +127,7 @@
         wait_ms = min(base_ms, max(MAX_BACKOFF_MS, self.settings.poll_ms))
         wait_ms *= self.rng.uniform(0.75, 1.25)
         try:
-            await asyncio.wait_for(self.wake_up.wait_for_next_read(), wait_ms / 1_000)
+            await asyncio.wait_for(self.wake_up.wait(), wait_ms / 1_000)
         except TimeoutError:
             pass
         self.wake_up.clear()
--- a/src/wagtailstep/network/peer_channel.py
+++ b/src/wagtailstep/network/peer_channel.py
@@ -89,7 +89,7 @@
         self.send_context = zmq.Context.shadow(self.context)
         self.router: zmq.asyncio.Socket | None = None
         self.connections: dict[str, PeerConnection] = {}
-        self.retired: list[zmq.Socket] = []
+        self.retired_sockets: list[zmq.Socket] = []
         self.reported_senders: set[bytes] = set()
         self.tasks: list[asyncio.Task[None]] = []
         self.retry_needed = asyncio.Event()
@@ -136,10 +136,10 @@
         log_event(LOGGER, "channel-closed", **attrs.asdict(self.counters))
         for connection in self.connections.values():
             connection.socket.close()
-        for socket in self.retired:
+        for socket in self.retired_sockets:
             socket.close()
         self.connections.clear()
-        self.retired.clear()
+        self.retired_sockets.clear()
         if self.router is not None:
             self.router.close()
         self.context.term()
@@ -230,8 +230,8 @@
     async def _run_sweeps(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_MS / 1_000)
-            while self.retired:
-                self.retired.pop().close()
+            while self.retired_sockets:
+                self.retired_sockets.pop().close()
             now = self._now_ms()
             for address, connection in list(self.connections.items()):
                 idle = now - connection.last_used_at >= IDLE_TIMEOUT_MS
@@ -241,7 +241,7 @@
 
     def _retire(self, address: str) -> None:
         # It is closed at the next sweep, so that what was just sent still leaves.
-        self.retired.append(self.connections.pop(address).socket)
+        self.retired_sockets.append(self.connections.pop(address).socket)
 
     def _retire_least_recently_used(self) -> None:
         least_recently_used = min(
--- a/src/wagtailstep/network/prober.py
+++ b/src/wagtailstep/network/prober.py
@@ -57,10 +57,10 @@
         incoming = IncomingRequest("GET", path, (), yield_body(b""))
         request = self.build_request(target.service, path, effect.timeout)
         try:
-            answer = await self.forwarder.forward(
+            response = await self.forwarder.forward(
                 request, gate, target.target_id, incoming, effect.timeout
             )
-            return await self.drain_response(answer)
+            return await self.drain_response(response)
         except RequestError:
             return False
 
@@ -80,11 +80,11 @@
             deadline=self.clock.monotonic() + timeout,
         )
 
-    async def drain_response(self, answer: Answer) -> bool:
+    async def drain_response(self, response: Answer) -> bool:
         """Read an answer to its end and judge its status."""
         try:
-            async for _ in answer.body:
+            async for _ in response.body:
                 pass
         finally:
-            await answer.close()
-        return answer.status < FIRST_ERROR_STATUS
+            await response.close()
+        return response.status < FIRST_ERROR_STATUS
