--- a/src/wagtailstep/network/__init__.py
+++ b/src/wagtailstep/network/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters between the outside and the controllers."""
+"""Network adapters: they turn I/O into events and effects into I/O."""
--- a/src/wagtailstep/network/announcements.py
+++ b/src/wagtailstep/network/announcements.py
@@ -1,4 +1,4 @@
-"""Announcements of the backend servers beside this daemon, over loopback HTTP."""
+"""HTTP routes by which local backend servers register with this daemon."""
 
 import ipaddress
 import logging
@@ -35,7 +35,7 @@
     """Body of an announcement.
 
     :param address: ``host:port`` of the backend server.
-    :param slots: requests that it runs at the same time.
+    :param slots: number of requests that it can run concurrently.
     """
 
     address: str
@@ -43,11 +43,11 @@
 
 
 class AnnouncementRoutes:
-    """Turn announcements into events, or refuse them with a reason.
+    """Validate announcements and dispatch them as events.
 
-    :param dispatch: takes the events.
+    :param dispatch: called with each event.
     :param settings: settings of the daemon.
-    :param clock: tells when a refusal was logged last.
+    :param clock: limits how often the same refusal is logged.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self.logged_at: dict[str, timedelta] = {}
 
     async def announce(self, request: Request) -> Response:
-        """Take ``PUT /v1/targets/{service}``: announce or renew."""
+        """Handle ``PUT /v1/targets/{service}``: register or renew a target."""
         try:
             service = parse_service(request)
             announcement = parse_announcement(await request.read())
@@ -78,7 +78,7 @@
         return self.build_confirmation(target.target_id)
 
     async def withdraw(self, request: Request) -> Response:
-        """Take ``DELETE /v1/targets/{service}?address=host:port``: leave."""
+        """Handle ``DELETE /v1/targets/{service}?address=host:port``: withdraw it."""
         try:
             service = parse_service(request)
             address = "".join(request.query.get("address") or ())
@@ -90,13 +90,13 @@
         return self.build_confirmation(target_id)
 
     def build_confirmation(self, target_id: str) -> Response:
-        """Answer what was taken and how soon it has to be renewed."""
+        """Return the response that names the target and the length of its lease."""
         lease_ms = self.settings.membership.announce_lease_ms
         body = msgspec.json.encode({"target": target_id, "lease_ms": lease_ms})
         return Response(200, None, Content(b"application/json", body))
 
     def build_refusal(self, error: BadRequestError) -> Response:
-        """Answer why an announcement was refused, and log that once."""
+        """Return the problem document for a refusal, and log the refusal."""
         self.log_refusal(str(error))
         problem = {
             "type": "about:blank",
@@ -108,7 +108,7 @@
         return Response(error.status, None, content)
 
     def log_refusal(self, detail: str) -> None:
-        """Log a refusal, unless the same was logged a short while ago."""
+        """Log a refusal unless the same one was logged within the interval."""
         now = self.clock.monotonic()
         last = self.logged_at.get(detail)
         if last is not None and now - last < REFUSAL_LOG_INTERVAL:
@@ -128,11 +128,12 @@
     """Add the routes for announcements to an application.
 
     :param app: application that listens on ``settings.announce_address``.
-    :param dispatch: takes :class:`TargetAnnounced` and :class:`TargetWithdrawn`.
+    :param dispatch: called with :class:`TargetAnnounced` and
+        :class:`TargetWithdrawn` events.
     """
     routes = AnnouncementRoutes(dispatch, settings, clock)
 
-    # The router marks its handlers, which only plain functions allow.
+    # The router sets attributes on its handlers, which bound methods do not allow.
     async def announce(request: Request) -> Response:
         return await routes.announce(request)
 
@@ -144,27 +145,28 @@
 
 
 def parse_service(request: Request) -> str:
-    """Return the service in the path.
+    """Return the service named in the path.
 
-    :raises BadRequestError: if it is not a name.
+    :raises BadRequestError: if it is not a valid service name.
     """
     service = (request.route_values or {}).get("service", "")
     if not _SERVICE.match(service):
         raise BadRequestError(
-            f"service {service!r} is not allowed; use up to 64 letters, digits, "
+            f"invalid service name {service!r}; use 1 to 64 letters, digits, "
             "dots, dashes and underscores"
         )
     return service
 
 
 def parse_announcement(body: bytes | None) -> Announcement:
-    """Read the body of an announcement.
+    """Parse the body of an announcement.
 
-    :raises BadRequestError: if it is not JSON or has a wrong or unknown key.
+    :raises BadRequestError: if it is too long, is not JSON, or has an invalid or
+        unknown key.
     """
     if body is not None and len(body) > MAX_BODY_BYTES:
         raise BadRequestError(
-            f"body of {len(body)} bytes; {MAX_BODY_BYTES} are allowed", 413
+            f"body has {len(body)} bytes; at most {MAX_BODY_BYTES} are allowed", 413
         )
     try:
         return msgspec.json.decode(body or b"", type=Announcement)
@@ -173,17 +175,17 @@
             f"{error}; give address (host:port) and slots (1 to {MAX_SLOTS})"
         ) from error
     except msgspec.DecodeError as error:
-        raise BadRequestError(f"body is not JSON: {error}") from error
+        raise BadRequestError(f"body is not valid JSON: {error}") from error
 
 
 def check_address(address: str, settings: DaemonSettings) -> None:
-    """Refuse an address that is wrong or not of this instance.
+    """Check that an address is valid and belongs to this instance.
 
-    :raises BadRequestError: if it is refused.
+    :raises BadRequestError: if it is not valid or belongs to another instance.
     """
     match = _ADDRESS.match(address)
     if match is None or not 0 < int(match["port"]) <= MAX_PORT:
-        raise BadRequestError(f"address {address!r} is not allowed; give host:port")
+        raise BadRequestError(f"invalid address {address!r}; give host:port")
     local_hosts = {
         address_setting.rpartition(":")[0]
         for address_setting in (settings.gate_address, settings.peer_address)
@@ -191,13 +193,13 @@
     if match["host"] not in local_hosts and not is_loopback(match["host"]):
         raise BadRequestError(
             f"address {address!r} belongs to another instance; announce it to the "
-            "daemon beside it",
+            "daemon on that instance",
             403,
         )
 
 
 def is_loopback(host: str) -> bool:
-    """Tell whether a host name or IP number means this instance."""
+    """Return whether a host name or IP address is a loopback address."""
     if host == "localhost":
         return True
     try:
@@ -207,11 +209,11 @@
 
 
 def check_slots(slots: int) -> None:
-    """Refuse a number of slots that no backend server has.
+    """Check that a number of slots is within the allowed range.
 
-    :raises BadRequestError: if it is refused.
+    :raises BadRequestError: if it is not.
     """
     if not 1 <= slots <= MAX_SLOTS:
         raise BadRequestError(
-            f"slots {slots} is not allowed; give a number from 1 to {MAX_SLOTS}"
+            f"invalid number of slots {slots}; give a number from 1 to {MAX_SLOTS}"
         )
--- a/src/wagtailstep/network/daemon.py
+++ b/src/wagtailstep/network/daemon.py
@@ -1,7 +1,7 @@
-"""What every daemon runs, wired together, wherever its table and members come from.
+"""The components shared by all daemons, whatever their configuration source.
 
-A daemon that needs no log doesn't load what reads it: loading code is most of what a
-start takes.
+The log client is imported only by daemons that use the log, since imports take most
+of the start-up time.
 """
 
 import asyncio
@@ -51,10 +51,10 @@
 
 
 class Daemon:
-    """Everything that one daemon process runs, but for its source of configuration.
+    """The components of one daemon process, except its configuration source.
 
     :param settings: settings of the daemon.
-    :param clock: the clock of all its components.
+    :param clock: the clock that all components use.
     """
 
     def __init__(self, settings: DaemonSettings, clock: Clock) -> None:
@@ -68,7 +68,7 @@
         self.build_servers()
 
     def build_runtime(self) -> None:
-        """Make the controllers, the gate and the runtime that drives them."""
+        """Create the controllers, the gate and the runtime that drives them."""
         parts = (self.settings, self.blackboard, self.clock, self.rng)
         self.routing = RoutingController(*parts)
         self.guard = DuplicateGuard(*parts)
@@ -105,27 +105,30 @@
         self.client.on_unreachable = lambda address: self.dispatch(GateSilent(address))
 
     def create_controllers(self) -> tuple[Controller, ...]:
-        """Return the controllers; each sees what those before it wrote for an event."""
+        """Create the controllers in the order in which they handle each event.
+
+        A controller sees what the earlier ones wrote to the blackboard for the event.
+        """
         raise NotImplementedError
 
     def create_log_service(self) -> LogService:
-        """Return the platform's log service, or one without records."""
+        """Create the client of the log service, or a null implementation."""
         return NoLog()
 
     def create_channel(self) -> PeerChannel:
-        """Return the control channel to the other daemons."""
+        """Create the control channel to the other daemons."""
         return ZeroMqPeerChannel(self.settings, self.clock)
 
     def get_keyed_store(self) -> KeyedStore:
-        """Return the platform's keyed store, or one without records."""
+        """Return the platform's keyed store, or a null implementation."""
         return NoKeyedStore()
 
     def add_target_routes(self, app: Application) -> None:
-        """Let the backend servers beside this daemon announce themselves."""
+        """Add the routes by which local backend servers register as targets."""
         add_announcement_routes(app, self.runtime.dispatch, self.settings, self.clock)
 
     def build_entry(self) -> None:
-        """Make the entry and let it hear the guard's decisions."""
+        """Create the entry and pass the duplicate guard's decisions to it."""
         self.entry = EntryService(
             self.settings,
             self.blackboard,
@@ -148,7 +151,7 @@
             )
 
     def build_servers(self) -> None:
-        """Make the HTTP servers; none listens yet."""
+        """Create the HTTP servers without listening yet."""
         endpoints = DaemonEndpoints(
             issue_ticket=self.entry.issue_ticket,
             describe_status=self.describe_status,
@@ -157,7 +160,7 @@
         )
         caller_app = CallerApp(self.entry.handle, endpoints)
         gate_app = ExchangeApp(choose_handler(self.gate.handle, self.entry.handle))
-        # Without a router of its own it would share one with all applications.
+        # Applications without an explicit router share a global one.
         self.announce_app = Application(router=Router())
         self.add_target_routes(self.announce_app)
         self.ready_app = Application(router=Router())
@@ -172,7 +175,7 @@
         self.caller_app = caller_app
 
     async def start(self) -> None:
-        """Listen, join the fleet, and take requests.
+        """Start to listen, join the fleet and accept requests.
 
         :raises ExceptionGroup: with an ``OSError`` for each address that can't be
             listened on.
@@ -200,10 +203,10 @@
         )
 
     async def shut_down(self) -> bool:
-        """Leave the fleet without cutting a request.
+        """Leave the fleet without interrupting a request.
 
-        The news goes out before entry and gate stop to listen, so that other daemons
-        pick other targets meanwhile; what arrives nevertheless is still served.
+        Other daemons are notified before the entry and the gate stop listening, so
+        that they choose other targets. Requests that still arrive are served.
 
         :return: whether all requests in flight ended within the drain limit.
         """
@@ -225,9 +228,9 @@
         return all(finished)
 
     async def wait_for_tickets(self, limit: timedelta) -> None:
-        """Wait while a ticket issued lately may still be used at another daemon.
+        """Wait until no recently issued ticket can be used at another daemon.
 
-        :param limit: longest time to wait.
+        :param limit: maximum time to wait.
         """
         ends_at = self.clock.monotonic() + limit
         while self.guard.tickets.has_open_tickets():
@@ -236,7 +239,7 @@
             await asyncio.sleep(TICKET_POLL_MS / 1_000)
 
     async def close(self) -> None:
-        """Stop at once, whatever is in flight."""
+        """Stop immediately and abort the requests in flight."""
         await self.runtime.close()
         for server in (
             self.caller_server,
@@ -250,18 +253,21 @@
         self.log.close()
 
     def dispatch(self, event: Any) -> None:
-        """Give an event to the controllers; the gate exists before the runtime."""
+        """Dispatch an event to the controllers.
+
+        The gate is created before the runtime, so it can't hold ``runtime.dispatch``.
+        """
         self.runtime.dispatch(event)
 
     def compute_shutdown_limit(self, notice: timedelta) -> timedelta:
-        """Return how long requests in flight may take after the notice."""
+        """Return how long to wait for requests in flight once the notice has passed."""
         if not self.settings.shutdown_ms:
             return self.compute_drain_limit()
         longest = timedelta(milliseconds=self.settings.shutdown_ms)
         return max(timedelta(), longest - notice)
 
     def compute_drain_limit(self) -> timedelta:
-        """Return the longest drain limit of the services served or asked for."""
+        """Return the longest drain limit of the services served or requested here."""
         local = {
             self.blackboard.targets[target_id].service
             for target_id in self.blackboard.local_targets
@@ -272,15 +278,15 @@
         return max(table.service_row(service).drain_limit for service in services)
 
     def describe_status(self) -> DaemonStatus:
-        """Return what operators and their programs may want to know."""
+        """Return the status that this daemon reports to operators."""
         return describe_status(self.blackboard)
 
 
 def build_local_member(settings: DaemonSettings, clock: Clock) -> Member:
-    """Describe this daemon to the others.
+    """Build the member entry that describes this daemon to its peers.
 
-    The incarnation is the wall-clock time of the start in milliseconds, so that a
-    restarted daemon has a higher one although it keeps nothing.
+    The incarnation is the wall-clock start time in milliseconds, so that it grows with
+    each restart although the daemon stores nothing.
     """
     incarnation = int(clock.utc().timestamp() * 1_000)
     log_event(LOGGER, "incarnation-chosen", logging.DEBUG, incarnation=incarnation)
--- a/src/wagtailstep/network/daemon_client.py
+++ b/src/wagtailstep/network/daemon_client.py
@@ -1,4 +1,4 @@
-"""Asking daemons about themselves over HTTP."""
+"""HTTP client of the status and event endpoints of daemons."""
 
 from datetime import timedelta
 from typing import TypeVar
@@ -20,9 +20,9 @@
 
 
 class DaemonClient:
-    """Read what daemons tell about themselves.
+    """Fetch the status and the recent events of daemons.
 
-    :param client: reaches the daemons' caller addresses.
+    :param client: sends the requests to the daemons' caller addresses.
     """
 
     def __init__(self, client: HttpClient) -> None:
@@ -31,23 +31,23 @@
     async def fetch(self, address: str) -> list[TimelineEvent]:
         """Return the events that a daemon keeps in memory.
 
-        :raises RequestError: if it did not answer.
+        :raises RequestError: if there is no valid response.
         """
         return await self.fetch_resource(address, "events", list[TimelineEvent])
 
     async def fetch_status(self, address: str) -> DaemonStatus:
         """Return a daemon's status.
 
-        :raises RequestError: if it did not answer.
+        :raises RequestError: if there is no valid response.
         """
         return await self.fetch_resource(address, "status", DaemonStatus)
 
     async def fetch_resource(
         self, address: str, name: str, response_type: type[_T]
     ) -> _T:
-        """Ask for one of the daemon's own paths.
+        """Fetch and decode a resource under the daemon's reserved path.
 
-        :raises RequestError: if it did not answer, or with something else.
+        :raises RequestError: if there is no valid response.
         """
         request = HttpRequest(
             address=address,
@@ -65,5 +65,7 @@
                 return msgspec.json.decode(data, type=response_type)
         except msgspec.MsgspecError:
             pass
-        message = f"{address} is not a daemon: it answered with {response.status}"
+        message = (
+            f"{address} did not respond as a daemon does: HTTP status {response.status}"
+        )
         raise ConnectionFailedError(message, Verdict.RUN)
--- a/src/wagtailstep/network/http_client.py
+++ b/src/wagtailstep/network/http_client.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 client that sends each request exactly once.
+"""HTTP/1.1 client that sends each request at most once.
 
-Nothing is ever sent again by the client itself. A connection with a timed-out,
-cancelled, short or failed answer is closed and never used again.
+The client itself never retries. A connection whose response timed out, was cancelled,
+was truncated or failed is closed and not reused.
 """
 
 import asyncio
@@ -36,11 +36,11 @@
 
 
 class ResponseBody:
-    """The body of an answer, chunk by chunk; gives its connection back at the end.
+    """Streamed response body; releases its connection when it is complete.
 
-    :param client: pool for the connection.
-    :param connection: where the body is read from.
-    :param deadline: time of the event loop in seconds when it must have ended.
+    :param client: client whose pool the connection is released to.
+    :param connection: connection that the body is read from.
+    :param deadline: event loop time in seconds by which the body must be complete.
     """
 
     def __init__(
@@ -54,13 +54,13 @@
         self.failed = False
 
     def __aiter__(self) -> "ResponseBody":
-        """Return the body itself."""
+        """Return this iterator."""
         return self
 
     async def __anext__(self) -> bytes:
         """Return the next chunk.
 
-        :raises TruncatedAnswerError: if the answer ends before it is whole.
+        :raises TruncatedAnswerError: if the response ends before it is complete.
         """
         if self.ended:
             raise StopAsyncIteration
@@ -73,7 +73,7 @@
         raise StopAsyncIteration
 
     async def read_event(self) -> h11.Event:
-        """Read one event, closing the connection if that fails."""
+        """Read one event; close the connection on failure."""
         address = self.connection.address
         try:
             async with asyncio.timeout_at(self.deadline):
@@ -81,17 +81,17 @@
         except TimeoutError as error:
             await self.close()
             self.failed = True
-            message = f"the answer of {address} was not whole at its deadline"
+            message = f"the response from {address} was incomplete at its deadline"
             raise TruncatedAnswerError(message) from error
         except h11.RemoteProtocolError as error:
             await self.close()
             self.failed = True
-            message = f"the answer of {address} ended early: {error}"
+            message = f"the response from {address} was truncated: {error}"
             raise TruncatedAnswerError(message) from error
         except OSError as error:
             await self.close()
             self.failed = True
-            message = f"the connection to {address} broke within an answer: {error}"
+            message = f"the connection to {address} failed during a response: {error}"
             broken = TruncatedAnswerError(message)
             broken.blame = Blame.PATH
             raise broken from error
@@ -100,14 +100,14 @@
             raise
 
     async def close(self) -> None:
-        """Close the connection unless the body was read to its end."""
+        """Close the connection unless the body was read completely."""
         if not self.ended:
             self.ended = True
             self.connection.close()
 
 
 class HttpClient:
-    """Send requests over a small pool of kept connections for each address.
+    """Send requests over a small pool of persistent connections per address.
 
     :param settings: time limits of connections.
     :param clock: source of monotonic time.
@@ -123,9 +123,10 @@
         self.sweep_timer: asyncio.TimerHandle | None = None
 
     async def send(self, request: HttpRequest) -> Answer:
-        """Send one request once and return the head of its answer.
+        """Send one request once and return its response as soon as the head arrives.
 
-        :raises RequestError: ``NOT_RUN`` only if no byte of it was written.
+        :raises RequestError: with the verdict ``NOT_RUN`` only if no byte of the
+            request was written.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + request.time_left.total_seconds()
@@ -147,24 +148,25 @@
                 watch.stop()
         body = ResponseBody(self, connection, deadline)
         headers = remove_hop_by_hop(decode_headers(head.headers))
-        # A gate's refusal does not name the gate; it is still the same one.
+        # Refusals of a gate lack its identifier; the connection keeps the known one.
         connection.gate_id = find_header(headers, GATE_ID) or connection.gate_id
         return Answer(head.status_code, headers, body, Verdict.RUN, body.close)
 
     def create_silence_watch(
         self, connection: HttpConnection, request: HttpRequest
     ) -> SilenceWatch | None:
-        """Watch a kept connection to a gate for silence."""
+        """Return a watch for an unresponsive reused connection to a gate."""
         if connection.gate_id and request.attempt_id:
             return SilenceWatch(connection, request, self.send, self.on_unreachable)
         return None
 
     async def acquire(self, request: HttpRequest) -> HttpConnection:
-        """Return a kept or a new connection.
+        """Return an idle connection from the pool or open a new one.
 
-        A non-idempotent request gets a kept one only if it was proved lately.
+        A non-idempotent request reuses a connection only if it delivered a response
+        recently.
 
-        :raises RequestError: if none can be opened; nothing was sent.
+        :raises RequestError: if no connection can be opened; nothing was sent.
         """
         connection = self.pop_idle(request.address, self.compute_max_age(request))
         if connection is not None:
@@ -175,19 +177,22 @@
             async with asyncio.timeout(limit.total_seconds()):
                 return await open_connection(request.address, self.clock.monotonic())
         except OSError as error:
-            message = f"no connection to {request.address}: {error or 'timeout'}"
+            message = f"could not connect to {request.address}: {error or 'timeout'}"
             if isinstance(error, TimeoutError) and limit < longest:
                 raise DeadlineExceededError(message, Verdict.NOT_RUN) from error
             raise ConnectionFailedError(message, Verdict.NOT_RUN) from error
 
     def compute_max_age(self, request: HttpRequest) -> timedelta:
-        """Return how long ago a kept connection must have been proved."""
+        """Return the maximum time since the last response for reusing a connection."""
         if request.idempotent:
             return self.idle_limit
         return timedelta(milliseconds=self.settings.unsafe_idle_ms)
 
     def pop_idle(self, address: str, max_age: timedelta) -> HttpConnection | None:
-        """Return the connection that was used last, if it is young enough."""
+        """Return the most recently used connection that is fit for reuse.
+
+        :param max_age: maximum time since its last response.
+        """
         pool = self.pools.get(address)
         now = self.clock.monotonic()
         while pool:
@@ -201,7 +206,7 @@
         return None
 
     def release(self, connection: HttpConnection) -> None:
-        """Keep a connection after a whole answer, or close it if it can't serve."""
+        """Return a connection to the pool after a complete response, or close it."""
         now = self.clock.monotonic()
         if not connection.finish_exchange(now) or self.closed:
             connection.close()
@@ -214,13 +219,13 @@
             self.start_sweep_timer()
 
     def start_sweep_timer(self) -> None:
-        """Have old idle connections closed a while from now."""
+        """Schedule the next sweep of idle connections."""
         loop = asyncio.get_running_loop()
         delay = self.idle_limit.total_seconds()
         self.sweep_timer = loop.call_later(delay, self.close_expired)
 
     def close_expired(self) -> None:
-        """Close connections that were idle for too long, again and again."""
+        """Close connections past the idle limit and schedule the next sweep."""
         now = self.clock.monotonic()
         for address, pool in list(self.pools.items()):
             while pool and now - pool[0].idle_since > self.idle_limit:
@@ -232,7 +237,7 @@
             self.start_sweep_timer()
 
     def close(self) -> None:
-        """Close all idle connections; those in use close when they are released."""
+        """Close all idle connections; those in use are closed on release."""
         self.closed = True
         if self.sweep_timer is not None:
             self.sweep_timer.cancel()
@@ -243,18 +248,20 @@
 
 
 def get_failure_verdict(connection: HttpConnection) -> Verdict:
-    """Return the verdict on a request whose exchange failed."""
+    """Return whether a request whose exchange failed may have been run."""
     return Verdict.MAY_HAVE_RUN if connection.bytes_sent else Verdict.NOT_RUN
 
 
 def build_failure(error: Exception, connection: HttpConnection) -> RequestError:
-    """Turn a failed exchange into an error with a true verdict."""
+    """Return the error for a failed exchange, with its verdict and blame."""
     if connection.failure is not None:
         return connection.failure
     verdict = get_failure_verdict(connection)
     address = connection.address
     if isinstance(error, TimeoutError):
-        return DeadlineExceededError(f"no answer of {address} in time", verdict)
+        return DeadlineExceededError(
+            f"no response from {address} within the time limit", verdict
+        )
     message = f"the connection to {address} failed: {error}"
     failure = ConnectionFailedError(message, verdict)
     if connection.reused:
--- a/src/wagtailstep/network/http_connection.py
+++ b/src/wagtailstep/network/http_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection seen from its client: one request at a time."""
+"""Client side of one HTTP/1.1 connection, without pipelining."""
 
 import asyncio
 import socket
@@ -20,21 +20,22 @@
 
 @attrs.frozen
 class HttpRequest:
-    """One request to be sent once over one connection.
+    """A request to send once over one connection.
 
     :param address: ``host:port`` of the server.
     :param method: HTTP method in capitals.
     :param path: path and query string.
     :param headers: pairs of lower-case name and value. A body is sent only with a
         ``content-length`` other than 0 or with ``transfer-encoding``.
-    :param body: chunks of the body, read as fast as the connection takes them.
-    :param idempotent: whether running it twice does no harm.
-    :param time_left: time until the whole answer must have arrived.
-    :param attempt_id: what a gate calls this sending; empty if it goes to no gate.
-    :param expected_request_id: request identifier that the answer repeats; a leftover answer
-        with another one is passed over. Empty if answers aren't told apart.
-    :param silence_timeout: time without an answer after which a gate is asked, over a
-        new connection, what became of the request.
+    :param body: chunks of the body, read with back-pressure from the connection.
+    :param idempotent: whether it is safe to run the request twice.
+    :param time_left: time until the complete response must have arrived.
+    :param attempt_id: identifier of this attempt at the gate; empty for requests
+        that are not sent to a gate.
+    :param expected_request_id: request identifier that the response echoes; stale
+        responses with another one are skipped. Empty disables the check.
+    :param silence_timeout: time without a response after which the gate is queried,
+        over a new connection, for the state of the attempt.
     """
 
     address: str
@@ -50,22 +51,22 @@
 
     @property
     def expects_continue(self) -> bool:
-        """Tell whether the server must ask for the body before it is sent."""
+        """Return whether to wait for ``100 Continue`` before sending the body."""
         return find_header(self.headers, "expect") is not None
 
     @property
     def has_body(self) -> bool:
-        """Tell whether the headers announce a body."""
+        """Return whether the headers declare a body."""
         length = find_header(self.headers, "content-length")
         chunked = find_header(self.headers, "transfer-encoding")
         return length not in (None, "0") or chunked is not None
 
 
 class CountingReader(asyncio.StreamReader):
-    """A stream reader that knows how many bytes ever arrived.
+    """A stream reader that counts the bytes received.
 
-    An idle connection on which bytes arrived can't be reused: they would be taken
-    for the answer to the next request.
+    An idle connection that has received bytes can't be reused: they would be parsed
+    as the response to the next request.
     """
 
     def __init__(self) -> None:
@@ -73,7 +74,7 @@
         self.bytes_received = 0
 
     def feed_data(self, data: bytes) -> None:
-        """Count bytes and keep them."""
+        """Count and buffer received bytes."""
         self.bytes_received += len(data)
         super().feed_data(data)
 
@@ -82,7 +83,7 @@
     """A client connection and the state of the exchange on it.
 
     :param address: ``host:port`` of the server.
-    :param reader: stream of the server's bytes.
+    :param reader: stream from the server.
     :param writer: stream to the server.
     :param now: monotonic time.
     """
@@ -111,7 +112,7 @@
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether the idle connection looks fit for another request."""
+        """Return whether the idle connection is open and has no unread bytes."""
         if self.writer.is_closing() or self.reader.at_eof():
             return False
         return self.bytes_consumed == self.reader.bytes_received
@@ -119,7 +120,7 @@
     def write_event(self, event: h11.Event) -> None:
         """Write one event of the request.
 
-        :raises h11.LocalProtocolError: if the event is not valid; nothing is sent.
+        :raises h11.LocalProtocolError: if the event is invalid; nothing was sent.
         """
         data = self.state.send(event)
         if data:
@@ -127,7 +128,7 @@
             self.writer.write(data)
 
     def start_request(self, request: HttpRequest) -> None:
-        """Write the head of the request, and its end if it has no body.
+        """Write the request head, and the end of the message if there is no body.
 
         :raises BadRequestError: if the head is not valid HTTP; nothing was sent.
         """
@@ -143,15 +144,15 @@
                 )
             )
         except (h11.LocalProtocolError, UnicodeError) as error:
-            raise BadRequestError(f"the request can't be sent: {error}") from error
+            raise BadRequestError(f"the request is not valid HTTP: {error}") from error
         if not request.has_body:
             self.write_event(h11.EndOfMessage())
 
     async def send_body(self, body: AsyncIterator[bytes]) -> None:
-        """Write the body, waiting whenever the connection is full.
+        """Write the body with back-pressure.
 
-        A body that fails after the answer has begun breaks the connection, since
-        the server would wait for the rest.
+        If the body fails after the response has started, the connection is aborted,
+        since the server would wait for the rest.
         """
         try:
             async for chunk in body:
@@ -165,11 +166,11 @@
             raise
 
     async def read_event(self) -> h11.Event:
-        """Read one event of the answer.
+        """Read one event of the response.
 
-        :raises h11.RemoteProtocolError: if the server's bytes are not HTTP or end
-            within a message.
-        :raises OSError: if the connection broke.
+        :raises h11.RemoteProtocolError: if the server sends invalid HTTP or closes the
+            connection within a message.
+        :raises OSError: if the connection failed.
         """
         event = self.state.next_event()
         while event is h11.NEED_DATA:
@@ -180,16 +181,16 @@
         return event
 
     async def read_head(self) -> h11.Response:
-        """Read events up to the head of the final answer; 1xx heads are skipped."""
+        """Read the head of the final response and skip informational ones (1xx)."""
         event = await self.read_event()
         while isinstance(event, h11.InformationalResponse):
             event = await self.read_event()
         return self.require_head(event)
 
     async def wait_for_continue(self) -> h11.Response | None:
-        """Wait until the server asks for the body.
+        """Wait until the server sends ``100 Continue``.
 
-        :return: the head of its final answer if it doesn't want the body.
+        :return: the head of the final response if the server sends that instead.
         """
         event = await self.read_event()
         while isinstance(event, h11.InformationalResponse):
@@ -199,19 +200,21 @@
         return self.require_head(event)
 
     def require_head(self, event: h11.Event) -> h11.Response:
-        """Return the event if it is the head of an answer.
+        """Return the event if it is the head of a response.
 
         :raises ConnectionResetError: if the server closed the connection instead.
         """
         if not isinstance(event, h11.Response):
-            raise ConnectionResetError("the server closed the connection")
+            raise ConnectionResetError(
+                "the server closed the connection without a response"
+            )
         return event
 
     async def exchange_heads(self, request: HttpRequest) -> h11.Response:
-        """Send the request and return the head of the answer.
+        """Send the request and return the head of the response.
 
-        The body may still be on its way when this returns. A server that answers
-        before it has read the body is heard.
+        The server may respond before it has read the body, so the body may still be
+        being sent when this returns.
         """
         self.bytes_sent = False
         self.start_request(request)
@@ -240,9 +243,9 @@
     async def skip_stale_responses(
         self, head: h11.Response, request: HttpRequest
     ) -> h11.Response:
-        """Pass over late answers to earlier requests, as their identifiers show.
+        """Skip late responses to earlier requests, recognized by their identifiers.
 
-        :return: the head of the first answer that may be to this request.
+        :return: the head of the first response that can belong to this request.
         """
         while (
             request.expected_request_id
@@ -254,18 +257,18 @@
         return head
 
     async def skip_response(self) -> None:
-        """Read an answer to its end and expect another one to the same request."""
+        """Read a response to its end and prepare to read another one."""
         event = await self.read_event()
         while isinstance(event, h11.Data):
             event = await self.read_event()
         if not isinstance(event, h11.EndOfMessage) or self.state.our_state is not (
             h11.DONE
         ):
-            raise ConnectionResetError("a leftover answer ended the connection")
+            raise ConnectionResetError("the connection ended with a stale response")
         rest, closed = self.state.trailing_data
         if closed:
-            raise ConnectionResetError("a leftover answer ended the connection")
-        # A state that has sent its request and awaits the answer; nothing is written.
+            raise ConnectionResetError("the connection ended with a stale response")
+        # A new parser that awaits a response: its request is not written anywhere.
         self.state = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
@@ -277,20 +280,20 @@
             self.state.receive_data(rest)
 
     def raise_body_error(self) -> None:
-        """Raise what ended the body early, unless the connection itself broke.
+        """Raise the error that ended the body early, unless the connection failed.
 
-        A server may answer and close while it is still being sent the body; then
-        writing fails but the answer can still be read.
+        A server may respond and close while the body is still being sent; then writing
+        fails, but the response can still be read.
         """
         error = self.body_sender.exception()
         if error is not None and not isinstance(error, OSError):
             raise error
 
     def finish_exchange(self, now: timedelta) -> bool:
-        """Prepare for the next request after a whole answer.
+        """Prepare for the next request after a complete response.
 
         :param now: monotonic time.
-        :return: whether the connection can be used again.
+        :return: whether the connection can be reused.
         """
         if self.body_sender is not None:
             sent = self.body_sender.done() and self.body_sender.exception() is None
@@ -308,12 +311,12 @@
         return self.is_clean
 
     def fail(self, failure: RequestError) -> None:
-        """Break the exchange on this connection for a known reason."""
+        """Abort the exchange on this connection with a known error."""
         self.failure = failure
         reset_transport(self.writer.transport)
 
     def close(self) -> None:
-        """Close at once, whatever is still buffered; may be called repeatedly."""
+        """Close immediately and drop buffered data; may be called repeatedly."""
         if self.body_sender is not None:
             self.body_sender.cancel()
             self.body_sender.add_done_callback(_retrieve_exception)
@@ -322,15 +325,15 @@
 
 
 def is_stale_response(head: h11.Response, request: HttpRequest) -> bool:
-    """Tell whether an answer names another request than the one it follows."""
+    """Return whether a response carries the identifier of another request."""
     found = find_header(decode_headers(head.headers), REQUEST_ID)
     return found is not None and found != request.expected_request_id
 
 
 def reset_transport(transport: asyncio.WriteTransport) -> None:
-    """Close at once and have the kernel drop what it has not delivered.
+    """Close immediately and make the kernel drop undelivered data.
 
-    Otherwise it would go on delivering a request that was given up.
+    Otherwise the kernel would go on delivering a request that was abandoned.
     """
     sock = transport.get_extra_info("socket")
     if sock is not None and not transport.is_closing():
@@ -344,12 +347,12 @@
 
 
 def encode_headers(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """Return headers as the bytes that go over the connection."""
+    """Return headers encoded for the wire."""
     return [(name.encode("ascii"), value.encode("latin-1")) for name, value in headers]
 
 
 def decode_headers(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return headers as text, names in lower case."""
+    """Return decoded headers with lower-case names."""
     return tuple(
         (name.decode("ascii").lower(), value.decode("latin-1"))
         for name, value in headers
@@ -359,7 +362,7 @@
 async def open_connection(address: str, now: timedelta) -> HttpConnection:
     """Open a connection to ``host:port``.
 
-    :raises OSError: if the server can't be reached.
+    :raises OSError: if the connection can't be established.
     """
     host, _, port = address.rpartition(":")
     reader = CountingReader()
--- a/src/wagtailstep/network/http_protocol.py
+++ b/src/wagtailstep/network/http_protocol.py
@@ -1,8 +1,9 @@
-"""Server side of one HTTP/1.1 connection: uvicorn's protocol, made strict.
+"""Server side of one HTTP/1.1 connection, based on uvicorn's protocol.
 
-uvicorn parses and frames; this class adds what a proxy needs: a caller that goes
-away cancels the handler, a malformed request gets a verdict, and an answer that
-can't be completed breaks the connection in a way no client takes for its end.
+uvicorn parses and frames messages. This class adds what a proxy needs: the handler is
+cancelled when the caller disconnects, a malformed request gets a verdict, and a
+response that can't be completed ends the connection so that no client takes it for
+complete.
 """
 
 import asyncio
@@ -26,14 +27,14 @@
 HEAD_TIMEOUT_S = 75
 CONNECTION_KEY = "wagtailstep.connection"
 
-# uvicorn logs a malformed request and an unfinished answer on its own; each is
-# logged once, by this package, as a key=value line.
+# Silenced: uvicorn also logs malformed requests and unfinished responses, which this
+# package already logs as key=value lines.
 uvicorn_logger = logging.getLogger("wagtailstep.network.uvicorn")
 uvicorn_logger.setLevel(logging.CRITICAL)
 
 
 class ServerConnection(H11Protocol):
-    """One connection of a caller or of another daemon."""
+    """A connection from a caller or another daemon."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
@@ -45,24 +46,24 @@
         self.head_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to wait for a request."""
+        """Start to wait for a request."""
         super().connection_made(transport)
         self.start_head_timer()
 
     def start_head_timer(self) -> None:
-        """Close the connection if no whole head of a request arrives in time.
+        """Close the connection unless a complete request head arrives in time.
 
-        uvicorn's own limit begins anew with each byte.
+        uvicorn's own timeout does not suffice: it restarts with each byte received.
         """
         self.head_timer = self.loop.call_later(HEAD_TIMEOUT_S, self.transport.close)
 
     def cancel_head_timer(self) -> None:
-        """Leave the connection open for as long as its request takes."""
+        """Stop the timeout while a request is being handled."""
         if self.head_timer is not None:
             self.head_timer.cancel()
 
     async def run_handler(self, scope: Any, receive: Any, send: Any) -> None:
-        """Run the application; being cancelled by the caller's leaving is no error."""
+        """Run the application; cancellation by a disconnect is not an error."""
         self.handler = asyncio.current_task()
         self.cancel_head_timer()
         scope[CONNECTION_KEY] = self
@@ -79,7 +80,7 @@
                 self.start_head_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel the handler: nobody waits for its answer any more."""
+        """Cancel the handler if its response is incomplete: the caller has gone."""
         self.cancel_head_timer()
         answered = self.cycle is None or self.cycle.response_complete
         super().connection_lost(exc)
@@ -88,11 +89,11 @@
         self.on_connection_lost()
 
     def abort_response(self) -> None:
-        """End the connection so that the answer on it can't look whole.
+        """End the connection so that its truncated response can't look complete.
 
-        HTTP/1.1 frames its answers, so the end of the connection shows that this one
-        is cut, and what was written still arrives. An answer of HTTP/1.0 ends with
-        its connection; only a reset shows that it is cut.
+        HTTP/1.1 frames responses, so closing the connection shows the truncation and
+        still delivers what was written. An HTTP/1.0 response ends with its connection,
+        so only a reset shows the truncation.
         """
         if self.scope["http_version"] == "1.0":
             self.reset_connection()
@@ -100,11 +101,11 @@
             self.transport.close()
 
     def reset_connection(self) -> None:
-        """Reset the connection; what was not delivered yet is dropped."""
+        """Reset the connection and drop undelivered data."""
         reset_transport(self.transport)
 
     def send_400_response(self, msg: str) -> None:
-        """Answer a malformed request, or break the exchange it is part of."""
+        """Reject a malformed request, or reset the connection within an exchange."""
         error = sys.exc_info()[1]
         status = getattr(error, "error_status_hint", 400)
         log_event(
@@ -121,7 +122,7 @@
         self.send_error_response(status, str(error or msg))
 
     def send_error_response(self, status: int, detail: str) -> None:
-        """Write a final answer without any handler, and close."""
+        """Write an error response without running a handler, and close."""
         headers = [
             (b"content-type", b"text/plain; charset=utf-8"),
             (b"connection", b"close"),
--- a/src/wagtailstep/network/http_server.py
+++ b/src/wagtailstep/network/http_server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server inside the daemon's own process and event loop."""
+"""An HTTP/1.1 server that runs in the daemon's process and event loop."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,10 +18,11 @@
 class HttpServer:
     """Serve one ASGI application on one address.
 
-    Workers, signal handlers and log configuration of uvicorn are not used.
+    uvicorn's workers, signal handlers and log configuration are not used.
 
     :param app: the application.
-    :param announce_closing: called once when kept connections are to be closed.
+    :param announce_closing: called when the server stops accepting; from then on the
+        application has to ask clients to close their persistent connections.
     """
 
     def __init__(self, app: Any, announce_closing: Callable[[], None]) -> None:
@@ -44,10 +45,10 @@
         )
 
     async def start(self, address: str) -> str:
-        """Listen on ``host:port``; port 0 takes a free one.
+        """Listen on ``host:port``; port 0 selects a free port.
 
-        :return: ``host:port`` that is listened on.
-        :raises OSError: if the address can't be listened on.
+        :return: the ``host:port`` that the server listens on.
+        :raises OSError: if the address can't be bound.
         """
         self.config.load()
         host, _, port = address.rpartition(":")
@@ -59,7 +60,7 @@
         return f"{bound[0]}:{bound[1]}"
 
     def create_connection(self) -> ServerConnection:
-        """Return the protocol of a new connection."""
+        """Create the protocol object for a new connection."""
         connection = ServerConnection(
             config=self.config, server_state=self.state, app_state={}
         )
@@ -67,9 +68,10 @@
         return connection
 
     def stop_accepting(self) -> None:
-        """Take no new connection; kept ones are told to close at their next answer.
+        """Accept no new connections and have the persistent ones close gradually.
 
-        Requests that arrive on kept connections are still served.
+        Requests that arrive on persistent connections are still served; their
+        responses tell the client to close the connection.
         """
         self.announce_closing()
         if self.server is not None:
@@ -78,10 +80,10 @@
     async def drain(self, limit: timedelta) -> bool:
         """Wait until no request is in flight, then close the idle connections.
 
-        With the listener closed before, nothing can arrive afterwards. Returns only
-        when the last bytes of the answers have left this process.
+        If the listener was closed before, no request can arrive afterwards. Returns
+        once all response bytes have been flushed to the sockets.
 
-        :param limit: longest time to wait.
+        :param limit: maximum time to wait.
         :return: whether all requests ended in time.
         """
         try:
@@ -94,7 +96,7 @@
         return True
 
     async def close_idle_connections(self) -> None:
-        """Close connections without a request and wait until they are flushed."""
+        """Close idle connections and wait until their data has been flushed."""
         while self.state.connections:
             self.connection_lost.clear()
             for connection in list(self.state.connections):
@@ -104,7 +106,7 @@
                 await self.connection_lost.wait()
 
     async def close(self) -> None:
-        """Close the listener and all connections, in use or not."""
+        """Close the listener and all connections, including those in use."""
         if self.server is not None:
             self.server.close()
         for task in list(self.state.tasks):
--- a/src/wagtailstep/network/load_generator.py
+++ b/src/wagtailstep/network/load_generator.py
@@ -1,4 +1,4 @@
-"""Playing a load as callers do: open loop, whatever is still under way."""
+"""Open-loop load generator: sends on schedule, however many requests are in flight."""
 
 import asyncio
 import random
@@ -20,7 +20,7 @@
 from wagtailstep.utils.callbacks import do_nothing
 from wagtailstep.utils.clock import Clock
 
-# A caller hears what a system says at its own time limit.
+# Lets the error that a daemon sends at the request's time limit still arrive.
 TIMEOUT_MARGIN = timedelta(milliseconds=500)
 REFUSAL_STATUSES = frozenset(
     {HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE}
@@ -30,10 +30,10 @@
 
 @attrs.frozen
 class Reply:
-    """What one sending got.
+    """Outcome of sending a request once.
 
-    :param status: HTTP status; 0 if there was no whole answer.
-    :param retry_after_s: when a refusal says to come back.
+    :param status: HTTP status; 0 if there was no complete response.
+    :param retry_after_s: delay in seconds after which a refusal says to retry.
     """
 
     status: int
@@ -41,11 +41,11 @@
 
 
 class LoadGenerator:
-    """Play a load at its sides, one after the other.
+    """Send a load to the sides under comparison, one slice and side at a time.
 
     :param settings: the load.
-    :param clock: times requests.
-    :param on_slice: told after each slice.
+    :param clock: used to schedule and time requests.
+    :param on_slice: called after each slice of each side.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         self.sides = [SideResult(side.name) for side in settings.sides]
 
     async def run(self) -> list[SideResult]:
-        """Play all slices and return what each side answered."""
+        """Run all slices and return the results of each side."""
         for number in range(self.settings.slices):
             arrivals = plan_slice(self.settings, number)
             for index in order_sides(self.settings, number):
@@ -75,7 +75,7 @@
     async def run_slice(
         self, arrivals: list[Arrival], index: int
     ) -> dict[str, ClassResult]:
-        """Play a slice at one side and wait for its last answer."""
+        """Run a slice against one side and wait until all its requests have ended."""
         results = {
             request_class.name: ClassResult() for request_class in self.settings.classes
         }
@@ -97,10 +97,11 @@
     async def run_arrival(
         self, arrival: Arrival, index: int, due: timedelta, result: ClassResult
     ) -> None:
-        """Bring one request to its end, as its caller would.
+        """Send one request with retries and early cancellation, and count its outcome.
 
-        :param due: monotonic time when it was to be sent; latency counts from there.
-        :param result: where it is counted.
+        :param due: monotonic time when the request was scheduled; its latency is
+            measured from there.
+        :param result: where the outcome is counted.
         """
         result.asked += 1
         request_class = arrival.request_class
@@ -122,7 +123,7 @@
             result.failed += 1
 
     async def send_with_retries(self, arrival: Arrival, index: int) -> Reply:
-        """Send a request, and again after refusals, as often as its class says."""
+        """Send a request, and retry it after refusals as often as its class allows."""
         request_class = arrival.request_class
         addresses = self.settings.sides[index].addresses
         address = addresses[int(arrival.daemon_draw * len(addresses))]
@@ -152,7 +153,7 @@
 def build_request(
     address: str, request_class: LoadClass, time_left: timedelta
 ) -> HttpRequest:
-    """Return one request of a class."""
+    """Build one request of a class."""
     headers = (
         (TIMEOUT_MS, str(request_class.timeout_ms)),
         *request_class.headers.items(),
@@ -175,12 +176,12 @@
 
 
 async def yield_padding(size: int) -> AsyncIterator[bytes]:
-    """Yield a body of a size."""
+    """Yield a request body of the given size."""
     yield b"x" * size
 
 
 def parse_retry_after(text: str | None) -> float:
-    """Return the seconds of ``Retry-After``, or a default if it has none."""
+    """Return the seconds given by ``Retry-After``, or the default without a number."""
     try:
         return float(text or "")
     except ValueError:
--- a/src/wagtailstep/network/log_client.py
+++ b/src/wagtailstep/network/log_client.py
@@ -21,19 +21,19 @@
 _CREATED = 201
 _OK = 200
 _GONE = 410
-# The service answers these before it does anything with the request.
+# With these statuses the service has rejected a request without applying it.
 _NOT_APPLIED_STATUSES = frozenset({400, 404, 413, 429, 503})
 
 _T = TypeVar("_T")
 
 
 class HttpLogService(LogService):
-    """The log service behind ``host:port``.
+    """Client of the log service at ``host:port``.
 
-    Each call sends its request once. An append that was sent and not answered is
-    reported as unknown, never sent again.
+    Each call sends its request once. An append that was sent without a response is
+    reported as unknown and not retried.
 
-    :param settings: where the service is and how long a call may take.
+    :param settings: address of the service and time limit of a call.
     :raises SettingsError: if the address is not ``host:port``.
     """
 
@@ -52,8 +52,10 @@
             return _decode(reply, AppendReply).offset
         text = f"append to stream {stream!r} got HTTP status {reply.status}"
         if reply.status in _NOT_APPLIED_STATUSES:
-            raise LogUnavailableError(f"{text} and had no effect; try again later")
-        raise AppendUnknownError(f"{text} and may have taken effect; read to find out")
+            raise LogUnavailableError(f"{text} and was not applied; retry later")
+        raise AppendUnknownError(
+            f"{text} and may have been applied; read the stream to find out"
+        )
 
     async def read(self, stream: str, offset: int, limit: int = 1000) -> LogBatch:
         """Read records; see :meth:`LogService.read`."""
@@ -73,18 +75,18 @@
         return _decode_ok(reply, StreamReply).oldest_offset
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the persistent connections."""
         self.calls.close()
 
 
 def split_address(address: str) -> tuple[str, int]:
     """Split ``host:port``.
 
-    :raises SettingsError: if ``address`` is something else.
+    :raises SettingsError: if ``address`` has another form.
     """
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal() or int(port) > 65_535:
-        raise SettingsError(f"log address {address!r} is not host:port")
+        raise SettingsError(f"log address {address!r} is invalid; give host:port")
     return host.strip("[]"), int(port)
 
 
@@ -94,7 +96,9 @@
 
 def _decode_ok(reply: HttpReply, reply_type: type[_T]) -> _T:
     if reply.status != _OK:
-        raise LogUnavailableError(f"the log answered with HTTP status {reply.status}")
+        raise LogUnavailableError(
+            f"the log service responded with HTTP status {reply.status}"
+        )
     return _decode(reply, reply_type)
 
 
@@ -102,7 +106,7 @@
     try:
         return msgspec.json.decode(reply.body, type=reply_type)
     except msgspec.MsgspecError as error:
-        text = f"the log's answer (HTTP status {reply.status}) is malformed: {error}"
+        text = f"malformed log response with HTTP status {reply.status}: {error}"
         if reply_type is AppendReply:
             raise AppendUnknownError(text) from error
         raise LogUnavailableError(text) from error
--- a/src/wagtailstep/network/log_daemon.py
+++ b/src/wagtailstep/network/log_daemon.py
@@ -1,4 +1,4 @@
-"""A daemon that follows the platform's log service."""
+"""A daemon that is configured through the platform's log service."""
 
 from wagtailstep.controllers.announcements import AnnouncementController
 from wagtailstep.controllers.dissemination import DisseminationController
@@ -13,13 +13,13 @@
 
 
 class LogDaemon(Daemon):
-    """Take edits of the table from the log, and agree on ejections through it.
+    """A daemon that reads table edits from the log and agrees on ejections through it.
 
-    Parameters are those of :class:`wagtailstep.network.daemon.Daemon`.
+    See :class:`wagtailstep.network.daemon.Daemon` for the parameters.
     """
 
     def create_controllers(self) -> tuple[Controller, ...]:
-        """Return the controllers; each sees what those before it wrote for an event."""
+        """Create the controllers in the order in which they handle each event."""
         parts = (self.settings, self.blackboard, self.clock, self.rng)
         return (
             TableController(*parts),
@@ -34,5 +34,5 @@
         )
 
     def create_log_service(self) -> LogService:
-        """Return the platform's log service."""
+        """Create the client of the log service."""
         return HttpLogService(self.settings.log)
--- a/src/wagtailstep/network/log_follower.py
+++ b/src/wagtailstep/network/log_follower.py
@@ -1,4 +1,4 @@
-"""Reading streams of the log service as they grow, through its outages."""
+"""Polling reader of a log stream that continues through outages."""
 
 import asyncio
 import logging
@@ -23,17 +23,18 @@
 
 
 class LogFollower:
-    """Read one stream from its oldest retained record on, and never stop.
+    """Read one stream continuously from its oldest retained record.
 
-    Records are dispatched in order and none twice. Each read that finds no further
-    record is dispatched as well: the end of the stream was reached.
+    Records are dispatched in order and at most once. A read without further records
+    is dispatched as well, since it shows that the end of the stream was reached.
 
-    :param settings: how often to read.
+    :param settings: sets the poll interval.
     :param log: the log service.
     :param stream: name of the stream.
-    :param dispatch: takes the events.
-    :param report_reachability: told after each read whether the log service was reachable.
-    :param rng: spreads the reads of many daemons over time.
+    :param dispatch: called with each event.
+    :param report_reachability: called after each read with whether the log service
+        was reachable.
+    :param rng: adds jitter so that the reads of many daemons are spread over time.
     """
 
     def __init__(
@@ -65,7 +66,7 @@
     async def read_once(self) -> bool:
         """Read one batch and dispatch it.
 
-        :return: whether the next batch may be read at once.
+        :return: whether to read the next batch without waiting.
         """
         try:
             if self.offset is None:
@@ -83,7 +84,7 @@
         return self.handle_batch(batch, requested_at)
 
     def resume_at_oldest(self, oldest_offset: int) -> None:
-        """Go on at the oldest retained record and tell the controllers."""
+        """Continue at the oldest retained record and dispatch the gap."""
         log_event(
             LOGGER,
             "log-gap",
@@ -96,10 +97,10 @@
         self.dispatch(LogGap(self.stream, oldest_offset))
 
     def handle_batch(self, batch: LogBatch, requested_at: timedelta) -> bool:
-        """Dispatch a batch and move on.
+        """Dispatch a batch and advance the offset.
 
         :param requested_at: monotonic time when the read was sent.
-        :return: whether there may be more records now.
+        :return: whether more records may be available.
         """
         self.offset = batch.next_offset
         if batch.records:
@@ -109,7 +110,7 @@
         return False
 
     def record_failure(self, error: LogError) -> None:
-        """Remember that the log service could not be read."""
+        """Count a failed read and report the log service as unreachable."""
         self.consecutive_failures += 1
         self.report_reachability(False)
         if self.consecutive_failures == 1:
@@ -122,7 +123,7 @@
             )
 
     async def wait_for_next_read(self) -> None:
-        """Wait for the next read: a poll interval, more while reads fail."""
+        """Wait for the poll interval, with exponential back-off while reads fail."""
         base_ms = self.settings.poll_ms * 2 ** min(self.consecutive_failures, 8)
         wait_ms = min(base_ms, max(MAX_BACKOFF_MS, self.settings.poll_ms))
         wait_ms *= self.rng.uniform(0.75, 1.25)
--- a/src/wagtailstep/network/memory_channel.py
+++ b/src/wagtailstep/network/memory_channel.py
@@ -1,4 +1,4 @@
-"""An in-memory twin of the control channel, with rules that lose messages."""
+"""In-memory control channel that can lose, duplicate, delay and reorder messages."""
 
 import asyncio
 import random
@@ -11,14 +11,14 @@
 
 @attrs.define
 class LinkRules:
-    """What happens to messages on their way.
+    """Faults of the simulated network.
 
-    :param blocked_links: pairs of sender and receiver whose messages are lost; the other
-        direction is not affected.
+    :param blocked_links: pairs of sender and receiver whose messages are lost; the
+        other direction is not affected.
     :param loss: probability that a message is lost.
-    :param duplication: probability that a message arrives twice.
-    :param delay_ms: shortest and longest time on the way; messages that take
-        different times overtake each other.
+    :param duplication: probability that a message is delivered twice.
+    :param delay_ms: minimum and maximum delay; messages with different delays can be
+        reordered.
     """
 
     blocked_links: set[tuple[str, str]] = attrs.field(factory=set)
@@ -27,13 +27,16 @@
     delay_ms: tuple[float, float] = (0.0, 0.0)
 
     def block(self, senders: list[str], receivers: list[str]) -> None:
-        """Lose all messages from some daemons to others, one way only."""
+        """Block messages from senders to receivers, but not the other way."""
         self.blocked_links.update((a, b) for a in senders for b in receivers if a != b)
 
     def draw_delays(
         self, sender: str, receiver: str, rng: random.Random
     ) -> list[float]:
-        """Return the delay in milliseconds of each copy that arrives."""
+        """Draw the delay in milliseconds of each copy of a message that is delivered.
+
+        A lost message has no copies.
+        """
         if (sender, receiver) in self.blocked_links or rng.random() < self.loss:
             return []
         copies = 2 if rng.random() < self.duplication else 1
@@ -42,10 +45,10 @@
 
 @attrs.define
 class MemoryNetwork:
-    """The network that in-memory channels share.
+    """The simulated network that in-memory channels share.
 
-    :param rng: source of losses and delays.
-    :param rules: what happens to messages.
+    :param rng: source of randomness for faults.
+    :param rules: faults to simulate.
     :param receivers: channels by their addresses.
     """
 
@@ -55,11 +58,11 @@
 
 
 class InMemoryPeerChannel:
-    """Carry control messages between daemons of one process.
+    """Control channel between daemons in one process.
 
-    :param network: the network to use.
-    :param daemon_id: name of this daemon.
-    :param address: ``host:port`` that stands for this channel.
+    :param network: the simulated network.
+    :param daemon_id: identifier of this daemon.
+    :param address: ``host:port`` by which other channels address this one.
     """
 
     def __init__(self, network: MemoryNetwork, daemon_id: str, address: str) -> None:
@@ -69,12 +72,12 @@
         self.deliver: Callable[[str, object], None] | None = None
 
     async def start(self, deliver: Callable[[str, object], None]) -> None:
-        """Begin to receive."""
+        """Start receiving."""
         self.deliver = deliver
         self.network.receivers[self.address] = self
 
     def send(self, address: str, message: object, urgent: bool = False) -> None:
-        """Send one message, or lose it as the rules say."""
+        """Send one message, subject to the rules of the network."""
         data = encode_message(message)
         receiver = self.network.receivers.get(address)
         if receiver is None:
@@ -87,7 +90,7 @@
             loop.call_later(delay / 1_000, receiver.receive, self.daemon_id, data)
 
     def receive(self, sender: str, data: bytes) -> None:
-        """Deliver a message, unless the channel was closed meanwhile."""
+        """Deliver a message unless the channel has been closed."""
         if self.deliver is not None:
             self.deliver(sender, decode_message(data))
 
--- a/src/wagtailstep/network/metrics.py
+++ b/src/wagtailstep/network/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one daemon, by OpenTelemetry, read over HTTP as JSON or as text."""
+"""OpenTelemetry metrics of one daemon, exported as JSON or Prometheus text."""
 
 from collections.abc import Callable, Iterable, Mapping
 from datetime import timedelta
@@ -19,14 +19,15 @@
 
 
 class MetricsRecorder:
-    """Count outcomes and observe the blackboard.
+    """Record outcomes from events and export gauges of the blackboard.
 
-    It takes events as a controller does and never has effects. Attributes never name
-    targets or client accounts; only requests and their latency are kept by route, and
-    OpenTelemetry counts what goes beyond 2,000 combinations together.
+    It handles events as a controller does and has no effects. To limit cardinality,
+    attributes never name targets or client accounts, and only requests and their
+    latency are recorded per route. OpenTelemetry aggregates attribute sets beyond
+    2,000 into one overflow set.
 
-    :param blackboard: what the gauges show.
-    :param clock: tells the age of the table.
+    :param blackboard: source of the gauges.
+    :param clock: used for the age of the table.
     """
 
     def __init__(self, blackboard: Blackboard, clock: Clock) -> None:
@@ -78,7 +79,7 @@
         self.add_blackboard_gauges()
 
     def add_blackboard_gauges(self) -> None:
-        """Register the gauges."""
+        """Register the gauges that read the blackboard."""
         gauges = {
             "wagtailstep.table.version": lambda: self.blackboard.table.version,
             "wagtailstep.members": lambda: len(self.blackboard.members),
@@ -109,15 +110,15 @@
         self.meter.create_observable_gauge(name, [observe], unit=unit)
 
     def compute_table_age(self) -> float:
-        """Return the seconds since the table in force came into force."""
+        """Return the seconds since the current table took effect."""
         return (self.clock.monotonic() - self.table_since) / timedelta(seconds=1)
 
     def record_store_call(self, outcome: str) -> None:
-        """Count a call to the platform's store that ended."""
+        """Count a finished call to the platform's store by its outcome."""
         self.store_calls.add(1, {"outcome": outcome})
 
     def handle(self, event: Any) -> list[Any]:
-        """Count the event if it is the end of a request, an attempt or its work."""
+        """Record the end of a request, an attempt or work of the backend server."""
         if isinstance(event, Tick) and self.table_version != (
             version := self.blackboard.table.version
         ):
@@ -141,11 +142,11 @@
         return []
 
     def export_text(self) -> bytes:
-        """Return all metrics in the text form that collectors read."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def export_json(self) -> str:
-        """Return all metrics as JSON in OpenTelemetry's data model."""
+        """Return all metrics as JSON in the OpenTelemetry data model."""
         data = self.reader.get_metrics_data()
         return "{}" if data is None else data.to_json(indent=None)
 
--- a/src/wagtailstep/network/monitoring_routes.py
+++ b/src/wagtailstep/network/monitoring_routes.py
@@ -1,4 +1,4 @@
-"""What a daemon tells those who watch it: readiness and metrics."""
+"""HTTP routes for monitoring: readiness and metrics."""
 
 from collections.abc import Callable
 
@@ -12,14 +12,14 @@
 
 
 def is_ready(blackboard: Blackboard) -> bool:
-    """Tell whether requests that arrive now can be served."""
+    """Return whether the daemon can serve requests."""
     return (
         blackboard.table_known and bool(blackboard.targets) and not blackboard.draining
     )
 
 
 def add_ready_route(app: Application, blackboard: Blackboard) -> None:
-    """Answer ``GET /v1/ready`` with 200 or 503."""
+    """Add ``GET /v1/ready``, which responds with 200 or 503."""
 
     async def show_ready(request: Request) -> Response:
         return Response(200 if is_ready(blackboard) else 503)
@@ -28,7 +28,7 @@
 
 
 def add_metrics_route(app: Application, export_text: Callable[[], bytes]) -> None:
-    """Answer ``GET /metrics`` with metrics in their text form."""
+    """Add ``GET /metrics``, which returns metrics in the Prometheus text format."""
 
     async def show_metrics(request: Request) -> Response:
         return Response(200, None, Content(METRICS_TYPE, export_text()))
--- a/src/wagtailstep/network/peer_channel.py
+++ b/src/wagtailstep/network/peer_channel.py
@@ -1,4 +1,4 @@
-"""The control channel between daemons, on ZeroMQ."""
+"""The control channel between daemons, over ZeroMQ."""
 
 import asyncio
 import logging
@@ -32,14 +32,14 @@
 
 @attrs.define
 class ChannelCounters:
-    """What a channel has carried.
+    """Traffic counters of a channel.
 
     :param sent: messages handed to ZeroMQ.
-    :param sent_bytes: their size, framing of the transport left out.
-    :param received: messages that arrived.
-    :param received_bytes: their size, framing of the transport left out.
+    :param sent_bytes: their size without the framing of the transport.
+    :param received: messages received.
+    :param received_bytes: their size without the framing of the transport.
     :param dropped: messages dropped before they were sent.
-    :param malformed: messages that arrived and could not be read.
+    :param malformed: received messages that could not be decoded.
     :param connections: connections opened.
     """
 
@@ -54,13 +54,13 @@
 
 @attrs.define
 class PeerConnection:
-    """One connection for sending.
+    """An outgoing connection.
 
     :param socket: a DEALER socket.
-    :param opened_at: milliseconds of the clock.
-    :param last_used_at: milliseconds of the clock.
-    :param pending: messages that wait for the connection, with the time in
-        milliseconds at which each is dropped.
+    :param opened_at: monotonic time in milliseconds.
+    :param last_used_at: monotonic time in milliseconds of the last send.
+    :param pending: messages queued until the connection is established, each with
+        the monotonic time in milliseconds at which it expires.
     """
 
     socket: zmq.Socket
@@ -70,14 +70,14 @@
 
 
 class ZeroMqPeerChannel:
-    """Send and receive control messages; drop them rather than queue them.
+    """Control channel that drops messages instead of blocking or queueing them.
 
-    Messages wait only for a connection that is being opened, shortly and few.
-    A connection is replaced when it is old, since one that has gone silent looks
-    the same as one that works.
+    Messages are queued only while a connection is being opened, for a short time and
+    in small number. Connections are replaced when they reach a maximum age, since the
+    sender can't distinguish an unresponsive connection from a working one.
 
-    :param settings: where to bind and what this daemon is called.
-    :param clock: tells how old connections are.
+    :param settings: address to bind and identifier of this daemon.
+    :param clock: used for the age of connections.
     """
 
     def __init__(self, settings: DaemonSettings, clock: Clock) -> None:
@@ -95,7 +95,7 @@
         self.retry_needed = asyncio.Event()
 
     async def start(self, deliver: Callable[[str, object], None]) -> None:
-        """Bind and begin to receive; port 0 is replaced in ``address``.
+        """Bind and start receiving; port 0 in ``address`` becomes the bound port.
 
         :param deliver: called with the sender's ``daemon_id`` and the message.
         """
@@ -117,7 +117,7 @@
         """Send one message, or drop it; never blocks and never raises.
 
         :param address: ``host:port`` of the receiver's control channel.
-        :param urgent: whether it goes before others that wait for a connection.
+        :param urgent: whether it precedes other messages queued for the connection.
         """
         frames = [self.daemon_id, encode_message(message)]
         connection = self._connect(address)
@@ -129,7 +129,7 @@
             self._queue_for_connection(connection, frames, urgent)
 
     async def close(self) -> None:
-        """Stop receiving, drop what was not sent, and log what was carried."""
+        """Stop receiving, drop unsent messages and log the counters."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -240,7 +240,7 @@
                     self._retire(address)
 
     def _retire(self, address: str) -> None:
-        # It is closed at the next sweep, so that what was just sent still leaves.
+        # Closed at the next sweep, so that messages just sent can still be delivered.
         self.retired_sockets.append(self.connections.pop(address).socket)
 
     def _retire_least_recently_used(self) -> None:
@@ -263,7 +263,9 @@
     ) -> None:
         try:
             if len(frames) != 3:
-                raise DecodeError(f"a message has 2 parts, not {len(frames) - 1}")
+                raise DecodeError(
+                    f"expected a message of 2 parts, got {len(frames) - 1}"
+                )
             sender = frames[1].decode()
             message = decode_message(frames[2])
         except (DecodeError, UnicodeDecodeError) as error:
--- a/src/wagtailstep/network/prober.py
+++ b/src/wagtailstep/network/prober.py
@@ -1,4 +1,4 @@
-"""Probes of backend servers, through their gates like any request."""
+"""Active probes of backend servers, sent through their gates like any request."""
 
 import random
 from datetime import timedelta
@@ -18,10 +18,12 @@
 
 
 class Prober:
-    """Send one harmless request to a target and judge the answer.
+    """Probe a target with one side-effect-free request.
 
-    :param settings: names the path to ask for.
-    :param blackboard: tells which gate is beside the target.
+    :param settings: sets the path of probes.
+    :param blackboard: used to look up the target and its gate.
+    :param clock: used for deadlines and durations.
+    :param rng: source of request identifiers.
     :param forwarder: sends the request.
     """
 
@@ -40,7 +42,7 @@
         self.forwarder = forwarder
 
     async def probe(self, effect: ProbeTarget) -> ProbeFinished:
-        """Probe one target; a target that is not known any more has failed."""
+        """Probe one target; the probe of a target that is no longer known fails."""
         started = self.clock.monotonic()
         succeeded = await self.send_probe(effect)
         return ProbeFinished(
@@ -48,7 +50,7 @@
         )
 
     async def send_probe(self, effect: ProbeTarget) -> bool:
-        """Return whether the target answered well in time."""
+        """Send a probe and return whether the target responded successfully in time."""
         target = self.blackboard.targets.get(effect.target_id)
         gate = target and self.blackboard.members.get(target.daemon_id)
         if target is None or gate is None:
@@ -67,7 +69,7 @@
     def build_request(
         self, service: str, path: str, timeout: timedelta
     ) -> RequestContext:
-        """Return the context of a probe."""
+        """Build the request context of a probe."""
         return RequestContext(
             request_id=make_id(self.rng),
             service=service,
@@ -81,7 +83,7 @@
         )
 
     async def drain_response(self, response: Answer) -> bool:
-        """Read an answer to its end and judge its status."""
+        """Read a response to its end and return whether its status is no error."""
         try:
             async for _ in response.body:
                 pass
--- a/src/wagtailstep/network/runtime.py
+++ b/src/wagtailstep/network/runtime.py
@@ -1,4 +1,4 @@
-"""The runtime of a daemon: events to the controllers, effects to the outside."""
+"""Runtime that dispatches events to controllers and carries out their effects."""
 
 import asyncio
 import functools
@@ -43,7 +43,7 @@
 
 @attrs.define
 class RuntimeAdapters:
-    """What the runtime reaches the outside with.
+    """The adapters through which the runtime carries out effects.
 
     :param log: the platform's log service.
     :param channel: control channel to the other daemons.
@@ -58,11 +58,11 @@
 
 
 class Runtime:
-    """Feed events to the controllers one at a time and apply their effects.
+    """Dispatch events to the controllers one at a time and apply their effects.
 
     :param settings: settings of the daemon.
-    :param blackboard: what the daemon knows.
-    :param clock: gives the time of recorded events.
+    :param blackboard: shared state of the daemon.
+    :param clock: source of the time of recorded events.
     :param rng: seeded random generator.
     :param adapters: adapters that carry out effects.
     """
@@ -87,12 +87,12 @@
 
     @property
     def controllers(self) -> Sequence[Controller]:
-        """The controllers, in the order in which they take events."""
+        """The controllers, in the order in which they handle events."""
         return tuple(controller for controller, _ in self.handlers)
 
     @controllers.setter
     def controllers(self, controllers: Sequence[Controller]) -> None:
-        # Looking up a single-dispatch method costs more than calling it.
+        # Bound once: the lookup of a singledispatch method costs more than its call.
         self.handlers = [(each, each.handle) for each in controllers]
 
     async def start(self) -> None:
@@ -108,9 +108,9 @@
         await self.adapters.channel.close()
 
     def dispatch(self, event: Any) -> None:
-        """Give one event to each controller in turn and apply the effects.
+        """Pass one event to each controller in turn and apply the effects.
 
-        An error of one controller is logged and keeps nothing from the others.
+        An exception in one controller is logged; the others still get the event.
         """
         for controller, handle in self.handlers:
             try:
@@ -134,7 +134,7 @@
                 listener(effect)
 
     def handle_peer_message(self, sender: str, message: object) -> None:
-        """Take a message of another daemon from the control channel."""
+        """Handle a message from another daemon on the control channel."""
         if not isinstance(message, StampedMessage):
             log_event(LOGGER, "message-not-stamped", logging.WARNING, sender=sender)
             return
@@ -149,7 +149,7 @@
         self.dispatch(PeerMessageReceived(sender, body))
 
     async def run_ticks(self) -> None:
-        """Dispatch a tick at a steady interval."""
+        """Dispatch a tick at a fixed interval."""
         while True:
             self.dispatch(Tick())
             await asyncio.sleep(TICK_INTERVAL_MS / 1_000)
@@ -161,19 +161,19 @@
         task.add_done_callback(self.handle_task_done)
 
     def handle_task_done(self, task: asyncio.Task[None]) -> None:
-        """Forget a task; one that failed is a fault of this program and is logged."""
+        """Discard a finished task; an exception in it is a bug and is logged."""
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             LOGGER.error("event=task-failed", exc_info=task.exception())
 
     def record_event(self, kind: str, **fields: object) -> None:
-        """Put an event on the time line and write it to the log output."""
+        """Add an event to the timeline and write it to the log output."""
         texts = {key: str(value) for key, value in fields.items()}
         self.timeline.record(kind, texts)
         log_event(LOGGER, kind, **texts)
 
     def record_log_reachability(self, reachable: bool) -> None:
-        """Note whether the log service answers; changes become events."""
+        """Record whether the log service is reachable and dispatch changes."""
         if reachable == self.blackboard.log_reachable:
             return
         self.blackboard.log_reachable = reachable
@@ -181,7 +181,7 @@
         self.dispatch(LogReachability(reachable))
 
     async def append(self, effect: AppendToLog) -> None:
-        """Append a record to the log and dispatch how that ended."""
+        """Append a record to the log and dispatch the outcome."""
         data = encode_message(effect.record)
         offset = None
         may_have_applied = False
@@ -195,15 +195,15 @@
         self.dispatch(LogAppendSettled(effect.append_id, offset, may_have_applied))
 
     def wake_follower(self, stream: str) -> None:
-        """Read a followed stream now, since it has grown."""
+        """Read a followed stream now, as it may have grown."""
         follower = self.followers.get(stream)
         if follower is not None:
             follower.wake_up.set()
 
     def follow(self, stream: str, poll_ms: int = 0) -> None:
-        """Begin to follow a stream; a second call has no effect.
+        """Start following a stream unless it is followed already.
 
-        :param poll_ms: time between two reads; 0 takes it from the settings.
+        :param poll_ms: poll interval; 0 uses the one from the settings.
         """
         if stream in self.followers:
             return
@@ -222,7 +222,7 @@
         self.spawn(follower.run())
 
     async def register_member(self, effect: RegisterMember) -> None:
-        """Write this daemon's record to the registry of members."""
+        """Write this daemon's record to the member registry; dispatch the outcome."""
         data = effect.peer_address.encode()
         succeeded = True
         try:
@@ -233,12 +233,12 @@
         self.dispatch(MemberRegistered(succeeded))
 
     async def unregister_member(self) -> None:
-        """Remove this daemon's record from the registry, if there is one."""
+        """Remove this daemon's record from the member registry, if one is used."""
         if self.settings.membership.member_source == "registry":
             await self.register_member(RegisterMember(self.settings.daemon_id, ""))
 
     async def list_members(self) -> None:
-        """Read the registry of members and dispatch what it names."""
+        """Read the member registry and dispatch the addresses in it."""
         try:
             records = await self.adapters.store.read_newest(Collection.MEMBERS)
         except LogError as error:
@@ -260,9 +260,9 @@
 def apply_effect(effect: Any, runtime: Runtime) -> None:
     """Carry out one effect.
 
-    :raises TypeError: if nothing is known about effects of this type.
+    :raises TypeError: if no handler is registered for this type of effect.
     """
-    raise TypeError(f"no way to apply {type(effect).__name__}")
+    raise TypeError(f"no handler for effects of type {type(effect).__name__}")
 
 
 @apply_effect.register
--- a/src/wagtailstep/network/table_follower.py
+++ b/src/wagtailstep/network/table_follower.py
@@ -1,4 +1,4 @@
-"""Following the table that operators publish in the platform's store."""
+"""Follower of the table that operators publish in the platform's store."""
 
 import asyncio
 import logging
@@ -13,16 +13,16 @@
 from wagtailstep.utils.logging import log_event
 
 LOGGER = logging.getLogger(__name__)
-# One call of each daemon waits at the store. Its length is drawn anew each time, so
-# that after an outage that lost all these calls some daemon soon asks again and
-# passes on what it reads; see docs/design/platform.md. That takes about as many calls
-# a second of all daemons together, so in large fleets each waits for longer.
+# Each daemon keeps one long-poll read open at the store. The wait is random, so that
+# after an outage that lost all these reads some daemon soon reads again and propagates
+# the result to its peers; see docs/design/platform.md. This rate is for the whole
+# fleet, so each daemon waits longer in a larger fleet.
 CALLS_PER_S = 4.0
 MIN_MEAN_WAIT_S = 7.0
-# With the spread below the 30 s for which the store lets a read wait.
+# Including the spread, below the 30 s for which the store lets a read wait.
 MAX_MEAN_WAIT_S = 20.0
 WAIT_SPREAD = 0.4
-# A store that refuses calls is asked again within its bound for changes, 2 s.
+# A call that the store refused is retried within 2 s, the store's bound for changes.
 INITIAL_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 1.5
 
@@ -30,15 +30,16 @@
 
 
 class TableFollower:
-    """Read the newest table, then wait for changes, through outages.
+    """Read the newest table, then long-poll for changes, and continue through outages.
 
     :param store: the platform's store.
-    :param find_document: finds the table's document among records; it raises
-        :class:`DecodeError` if it can't be read.
-    :param dispatch: takes :class:`TablePublished`.
-    :param report_reachability: told after each call whether the store was reachable.
-    :param rng: draws waits and pauses.
-    :param count_daemons: returns how many daemons follow the table, as known now.
+    :param find_document: returns the table's document among records, if any; raises
+        :class:`DecodeError` if the document can't be decoded.
+    :param dispatch: called with :class:`TablePublished` events.
+    :param report_reachability: called after each call to the store with whether it
+        was reachable.
+    :param rng: source of random waits and back-off.
+    :param count_daemons: returns the number of daemons currently known.
     """
 
     def __init__(
@@ -76,9 +77,9 @@
                 self.handle_records(records)
 
     async def read(self) -> KeyedRecords:
-        """Read the newest records, or wait for those that follow.
+        """Read the newest records, or wait for changes to those already read.
 
-        :raises LogError: if there was no answer.
+        :raises LogError: if the call failed.
         """
         if self.offset is None:
             return await self.store.read_newest(Collection.TABLE)
@@ -86,14 +87,14 @@
         return await self.store.read_changes(Collection.TABLE, self.offset, wait)
 
     def choose_wait(self) -> timedelta:
-        """Return how long the next read may wait for a change."""
+        """Return a random time for which the next read may wait for a change."""
         mean_s = self.count_daemons() / CALLS_PER_S
         mean_s = min(MAX_MEAN_WAIT_S, max(MIN_MEAN_WAIT_S, mean_s))
         factor = self.rng.uniform(1 - WAIT_SPREAD, 1 + WAIT_SPREAD)
         return timedelta(seconds=mean_s * factor)
 
     def handle_records(self, records: KeyedRecords) -> None:
-        """Dispatch the document among records, if there is one."""
+        """Dispatch the table's document if the records contain it."""
         self.offset = records.next_offset
         try:
             document = self.find_document(records)
@@ -104,7 +105,7 @@
             self.dispatch(TablePublished(document, "store"))
 
     async def back_off(self, error: LogError) -> None:
-        """Wait before the next call; longer after each failure."""
+        """Wait before the next call, twice as long after each failure up to a limit."""
         doubled = max(INITIAL_BACKOFF_S, 2 * self.backoff_s)
         if not self.backoff_s:
             log_event(LOGGER, "store-call-failed", logging.WARNING, error=error)
--- a/src/wagtailstep/platform/daemon.py
+++ b/src/wagtailstep/platform/daemon.py
@@ -37,7 +37,7 @@
         return self.store
 
     def create_controllers(self) -> tuple[Controller, ...]:
-        """Return the controllers; the table comes whole and gates judge targets."""
+        """Create the controllers; tables come complete, gates assess targets."""
         parts = (self.settings, self.blackboard, self.clock, self.rng)
         return (
             PublishedTableController(*parts, read_document),
