--- a/src/wagtailstep/network/daemon.py
+++ b/src/wagtailstep/network/daemon.py
@@ -263,17 +263,17 @@
         """Return how long to wait for requests in flight once the notice has passed."""
         if not self.settings.shutdown_ms:
             return self.compute_drain_limit()
-        longest = timedelta(milliseconds=self.settings.shutdown_ms)
-        return max(timedelta(), longest - notice)
+        shutdown_time = timedelta(milliseconds=self.settings.shutdown_ms)
+        return max(timedelta(), shutdown_time - notice)
 
     def compute_drain_limit(self) -> timedelta:
         """Return the longest drain limit of the services served or requested here."""
-        local = {
+        local_services = {
             self.blackboard.targets[target_id].service
             for target_id in self.blackboard.local_targets
             if target_id in self.blackboard.targets
         }
-        services = sorted(local | self.blackboard.wanted_services) or [""]
+        services = sorted(local_services | self.blackboard.wanted_services) or [""]
         table = self.blackboard.table
         return max(table.service_row(service).drain_limit for service in services)
 
--- a/src/wagtailstep/network/http_client.py
+++ b/src/wagtailstep/network/http_client.py
@@ -92,9 +92,9 @@
             await self.close()
             self.failed = True
             message = f"the connection to {address} failed during a response: {error}"
-            broken = TruncatedAnswerError(message)
-            broken.blame = Blame.PATH
-            raise broken from error
+            truncation = TruncatedAnswerError(message)
+            truncation.blame = Blame.PATH
+            raise truncation from error
         except BaseException:
             await self.close()
             raise
@@ -171,14 +171,14 @@
         connection = self.pop_idle(request.address, self.compute_max_age(request))
         if connection is not None:
             return connection
-        longest = timedelta(milliseconds=self.settings.connect_timeout_ms)
-        limit = min(longest, request.time_left)
+        connect_timeout = timedelta(milliseconds=self.settings.connect_timeout_ms)
+        limit = min(connect_timeout, request.time_left)
         try:
             async with asyncio.timeout(limit.total_seconds()):
                 return await open_connection(request.address, self.clock.monotonic())
         except OSError as error:
             message = f"could not connect to {request.address}: {error or 'timeout'}"
-            if isinstance(error, TimeoutError) and limit < longest:
+            if isinstance(error, TimeoutError) and limit < connect_timeout:
                 raise DeadlineExceededError(message, Verdict.NOT_RUN) from error
             raise ConnectionFailedError(message, Verdict.NOT_RUN) from error
 
--- a/src/wagtailstep/network/http_connection.py
+++ b/src/wagtailstep/network/http_connection.py
@@ -225,20 +225,20 @@
             if final_head is not None:
                 return final_head
         self.body_sender = asyncio.create_task(self.send_body(request.body))
-        head = asyncio.create_task(self.read_head())
-        head.add_done_callback(_retrieve_exception)
+        head_task = asyncio.create_task(self.read_head())
+        head_task.add_done_callback(_retrieve_exception)
         try:
             await asyncio.wait(
-                {self.body_sender, head}, return_when=asyncio.FIRST_COMPLETED
+                {self.body_sender, head_task}, return_when=asyncio.FIRST_COMPLETED
             )
-            if not head.done():
+            if not head_task.done():
                 self.raise_body_error()
-            found = await head
+            head = await head_task
             if self.body_sender.done():
-                return await self.skip_stale_responses(found, request)
-            return found
+                return await self.skip_stale_responses(head, request)
+            return head
         finally:
-            head.cancel()
+            head_task.cancel()
 
     async def skip_stale_responses(
         self, head: h11.Response, request: HttpRequest
@@ -326,8 +326,8 @@
 
 def is_stale_response(head: h11.Response, request: HttpRequest) -> bool:
     """Return whether a response carries the identifier of another request."""
-    found = find_header(decode_headers(head.headers), REQUEST_ID)
-    return found is not None and found != request.expected_request_id
+    response_id = find_header(decode_headers(head.headers), REQUEST_ID)
+    return response_id is not None and response_id != request.expected_request_id
 
 
 def reset_transport(transport: asyncio.WriteTransport) -> None:
--- a/src/wagtailstep/network/http_protocol.py
+++ b/src/wagtailstep/network/http_protocol.py
@@ -82,9 +82,9 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel the handler if its response is incomplete: the caller has gone."""
         self.cancel_head_timer()
-        answered = self.cycle is None or self.cycle.response_complete
+        response_sent = self.cycle is None or self.cycle.response_complete
         super().connection_lost(exc)
-        if self.handler is not None and not answered:
+        if self.handler is not None and not response_sent:
             self.handler.cancel()
         self.on_connection_lost()
 
--- a/src/wagtailstep/network/table_follower.py
+++ b/src/wagtailstep/network/table_follower.py
@@ -106,8 +106,8 @@
 
     async def back_off(self, error: LogError) -> None:
         """Wait before the next call, twice as long after each failure up to a limit."""
-        doubled = max(INITIAL_BACKOFF_S, 2 * self.backoff_s)
+        next_backoff_s = max(INITIAL_BACKOFF_S, 2 * self.backoff_s)
         if not self.backoff_s:
             log_event(LOGGER, "store-call-failed", logging.WARNING, error=error)
-        self.backoff_s = min(MAX_BACKOFF_S, doubled)
+        self.backoff_s = min(MAX_BACKOFF_S, next_backoff_s)
         await asyncio.sleep(self.backoff_s * self.rng.uniform(0.5, 1.5))
