--- a/src/wagtailstep/network/table_follower.py
+++ b/src/wagtailstep/network/table_follower.py
@@ -77,7 +77,7 @@
                 self.handle_records(records)
 
     async def read(self) -> KeyedRecords:
-        """Read the newest records, or wait for changes to those already read.
+        """Read the newest records, or wait for changes after those already read.
 
         :raises LogError: if the call failed.
         """
