--- a/src/wagtailstep/network/daemon.py
+++ b/src/wagtailstep/network/daemon.py
@@ -1,7 +1,7 @@
-"""What every daemon runs, wired together, wherever its table and members come from.
+"""The components shared by all daemons, whatever their configuration source.
 
-A daemon that needs no log doesn't load what reads it: loading code is most of what a
-start takes.
+The log client is imported only by daemons that use the log, since imports take most
+of the start-up time.
 """
 
 import asyncio
@@ -38,11 +38,11 @@
 from wagtailstep.network.http_client import HttpClient
 from wagtailstep.network.http_server import HttpServer
 from wagtailstep.network.metrics import MetricsRecorder
+from wagtailstep.network.monitoring_routes import add_metrics_route, add_ready_route
 from wagtailstep.network.peer_channel import ZeroMqPeerChannel
 from wagtailstep.network.prober import Prober
 from wagtailstep.network.relay import HttpRelay
-from wagtailstep.network.runtime import Outside, Runtime
-from wagtailstep.network.watch_routes import add_metrics_route, add_ready_route
+from wagtailstep.network.runtime import Runtime, RuntimeAdapters
 from wagtailstep.utils.clock import Clock
 from wagtailstep.utils.logging import log_event
 
@@ -51,33 +51,33 @@
 
 
 class Daemon:
-    """Everything that one daemon process runs, but for its source of configuration.
+    """The components of one daemon process, except its configuration source.
 
     :param settings: settings of the daemon.
-    :param clock: the clock of all its components.
+    :param clock: the clock that all components use.
     """
 
     def __init__(self, settings: DaemonSettings, clock: Clock) -> None:
         self.settings = settings
         self.clock = clock
         self.rng = random.Random(settings.seed)
-        self.blackboard = Blackboard(make_member(settings, clock))
+        self.blackboard = Blackboard(build_local_member(settings, clock))
         self.client = HttpClient(settings.requests, clock)
         self.build_runtime()
         self.build_entry()
         self.build_servers()
 
     def build_runtime(self) -> None:
-        """Make the controllers, the gate and the runtime that drives them."""
+        """Create the controllers, the gate and the runtime that drives them."""
         parts = (self.settings, self.blackboard, self.clock, self.rng)
         self.routing = RoutingController(*parts)
         self.guard = DuplicateGuard(*parts)
         self.metrics = MetricsRecorder(self.blackboard, self.clock)
         gate_controller = GateController(*parts)
-        self.metrics.watch_services(
+        self.metrics.add_service_gauge(
             "wagtailstep.gate.waiting", "{request}", gate_controller.count_waiting
         )
-        self.metrics.watch_services(
+        self.metrics.add_service_gauge(
             "wagtailstep.gate.running", "{request}", gate_controller.count_running
         )
         self.gate = GateService(
@@ -93,41 +93,44 @@
             self.rng,
             self.forwarder,
         )
-        self.log = self.find_log()
-        outside = Outside(
+        self.log = self.create_log_service()
+        adapters = RuntimeAdapters(
             log=self.log,
-            channel=self.make_channel(),
+            channel=self.create_channel(),
             probe=prober.probe,
-            store=self.find_store(),
+            store=self.get_keyed_store(),
         )
-        self.runtime = Runtime(*parts, outside)
-        self.runtime.controllers = self.make_controllers()
+        self.runtime = Runtime(*parts, adapters)
+        self.runtime.controllers = self.create_controllers()
         self.client.on_unreachable = lambda address: self.dispatch(
             GateUnresponsive(address)
         )
 
-    def make_controllers(self) -> tuple[Controller, ...]:
-        """Return the controllers; each sees what those before it wrote for an event."""
+    def create_controllers(self) -> tuple[Controller, ...]:
+        """Create the controllers in the order in which they handle each event.
+
+        A controller sees what the earlier ones wrote to the blackboard for the event.
+        """
         raise NotImplementedError
 
-    def find_log(self) -> LogService:
-        """Return the platform's log service, or one without records."""
+    def create_log_service(self) -> LogService:
+        """Create the client of the log service, or a null implementation."""
         return NullLogService()
 
-    def make_channel(self) -> PeerChannel:
-        """Return the control channel to the other daemons."""
+    def create_channel(self) -> PeerChannel:
+        """Create the control channel to the other daemons."""
         return ZeroMqPeerChannel(self.settings, self.clock)
 
-    def find_store(self) -> KeyedStore:
-        """Return the platform's keyed store, or one without records."""
+    def get_keyed_store(self) -> KeyedStore:
+        """Return the platform's keyed store, or a null implementation."""
         return NullKeyedStore()
 
-    def add_announcements(self, app: Application) -> None:
-        """Let the backend servers beside this daemon announce themselves."""
+    def add_target_routes(self, app: Application) -> None:
+        """Add the routes by which local backend servers register as targets."""
         add_announcement_routes(app, self.runtime.dispatch, self.settings, self.clock)
 
     def build_entry(self) -> None:
-        """Make the entry and let it hear the guard's decisions."""
+        """Create the entry and pass the duplicate guard's decisions to it."""
         self.entry = EntryService(
             self.settings,
             self.blackboard,
@@ -140,17 +143,17 @@
             dispatch=self.runtime.dispatch,
             apply=self.runtime.apply_all,
         )
-        self.runtime.listeners[RequestDecided] = self.entry.deliver_decision
+        self.runtime.effect_handlers[RequestDecided] = self.entry.deliver_decision
         shared = self.entry.sender.retries.shared_budget
         if shared is not None:
-            self.metrics.watch_services(
+            self.metrics.add_service_gauge(
                 "wagtailstep.retries.room",
                 "{retry}",
                 shared.compute_remaining_by_service,
             )
 
     def build_servers(self) -> None:
-        """Make the HTTP servers; none listens yet."""
+        """Create the HTTP servers without listening yet."""
         endpoints = DaemonEndpoints(
             issue_ticket=self.entry.issue_ticket,
             describe_status=self.describe_status,
@@ -161,9 +164,9 @@
         gate_app = ExchangeApp(
             create_gate_port_handler(self.gate.handle, self.entry.handle)
         )
-        # Without a router of its own it would share one with all applications.
+        # Applications without an explicit router share a global one.
         self.announce_app = Application(router=Router())
-        self.add_announcements(self.announce_app)
+        self.add_target_routes(self.announce_app)
         self.ready_app = Application(router=Router())
         add_ready_route(self.ready_app, self.blackboard)
         self.metrics_app = Application(router=Router())
@@ -176,7 +179,7 @@
         self.caller_app = caller_app
 
     async def start(self) -> None:
-        """Listen, join the fleet, and take requests.
+        """Start to listen, join the fleet and accept requests.
 
         :raises ExceptionGroup: with an ``OSError`` for each address that can't be
             listened on.
@@ -204,15 +207,15 @@
         )
 
     async def shut_down(self) -> bool:
-        """Leave the fleet without cutting a request.
+        """Leave the fleet without interrupting a request.
 
-        The news goes out before entry and gate stop to listen, so that other daemons
-        pick other targets meanwhile; what arrives nevertheless is still served.
+        Other daemons are notified before the entry and the gate stop listening, so
+        that they choose other targets. Requests that still arrive are served.
 
         :return: whether all requests in flight ended within the drain limit.
         """
         notice = timedelta(milliseconds=self.settings.shutdown_notice_ms)
-        limit = self.find_shutdown_limit(notice)
+        limit = self.compute_shutdown_limit(notice)
         self.blackboard.draining = True
         self.caller_app.announce_closing()
         self.runtime.record_event("daemon-draining", limit_s=limit.total_seconds())
@@ -229,9 +232,9 @@
         return all(finished)
 
     async def wait_for_tickets(self, limit: timedelta) -> None:
-        """Wait while a ticket issued lately may still be used at another daemon.
+        """Wait until no recently issued ticket can be used at another daemon.
 
-        :param limit: longest time to wait.
+        :param limit: maximum time to wait.
         """
         ends_at = self.clock.monotonic() + limit
         while self.guard.tickets.has_open_tickets():
@@ -240,7 +243,7 @@
             await asyncio.sleep(TICKET_POLL_MS / 1_000)
 
     async def close(self) -> None:
-        """Stop at once, whatever is in flight."""
+        """Stop immediately and abort the requests in flight."""
         await self.runtime.close()
         for server in (
             self.caller_server,
@@ -254,37 +257,40 @@
         self.log.close()
 
     def dispatch(self, event: Any) -> None:
-        """Give an event to the controllers; the gate exists before the runtime."""
+        """Dispatch an event to the controllers.
+
+        The gate is created before the runtime, so it can't hold ``runtime.dispatch``.
+        """
         self.runtime.dispatch(event)
 
-    def find_shutdown_limit(self, notice: timedelta) -> timedelta:
-        """Return how long requests in flight may take after the notice."""
+    def compute_shutdown_limit(self, notice: timedelta) -> timedelta:
+        """Return how long to wait for requests in flight once the notice has passed."""
         if not self.settings.shutdown_ms:
-            return self.find_drain_limit()
-        longest = timedelta(milliseconds=self.settings.shutdown_ms)
-        return max(timedelta(), longest - notice)
+            return self.compute_drain_limit()
+        shutdown_time = timedelta(milliseconds=self.settings.shutdown_ms)
+        return max(timedelta(), shutdown_time - notice)
 
-    def find_drain_limit(self) -> timedelta:
-        """Return the longest drain limit of the services served or asked for."""
-        local = {
+    def compute_drain_limit(self) -> timedelta:
+        """Return the longest drain limit of the services served or requested here."""
+        local_services = {
             self.blackboard.targets[target_id].service
             for target_id in self.blackboard.local_targets
             if target_id in self.blackboard.targets
         }
-        services = sorted(local | self.blackboard.requested_services) or [""]
+        services = sorted(local_services | self.blackboard.requested_services) or [""]
         table = self.blackboard.table
         return max(table.service_row(service).drain_limit for service in services)
 
     def describe_status(self) -> DaemonStatus:
-        """Return what operators and their programs may want to know."""
+        """Return the status that this daemon reports to operators."""
         return describe_status(self.blackboard)
 
 
-def make_member(settings: DaemonSettings, clock: Clock) -> Member:
-    """Describe this daemon to the others.
+def build_local_member(settings: DaemonSettings, clock: Clock) -> Member:
+    """Build the member entry that describes this daemon to its peers.
 
-    The incarnation is the wall-clock time of the start in milliseconds, so that a
-    restarted daemon has a higher one although it keeps nothing.
+    The incarnation is the wall-clock start time in milliseconds, so that it grows with
+    each restart although the daemon stores nothing.
     """
     incarnation = int(clock.utc().timestamp() * 1_000)
     log_event(LOGGER, "incarnation-chosen", logging.DEBUG, incarnation=incarnation)
--- a/src/wagtailstep/network/daemon_client.py
+++ b/src/wagtailstep/network/daemon_client.py
@@ -1,4 +1,4 @@
-"""Asking daemons about themselves over HTTP."""
+"""HTTP client of the status and event endpoints of daemons."""
 
 from datetime import timedelta
 from typing import TypeVar
@@ -14,15 +14,15 @@
 from wagtailstep.network.http_connection import HttpRequest
 from wagtailstep.network.problems import yield_body
 
-ASK_TIMEOUT = timedelta(seconds=3)
-OK = 200
+REQUEST_TIMEOUT = timedelta(seconds=3)
+STATUS_OK = 200
 _T = TypeVar("_T")
 
 
 class DaemonClient:
-    """Read what daemons tell about themselves.
+    """Fetch the status and the recent events of daemons.
 
-    :param client: reaches the daemons' caller addresses.
+    :param client: sends the requests to the daemons' caller addresses.
     """
 
     def __init__(self, client: HttpClient) -> None:
@@ -31,21 +31,23 @@
     async def fetch(self, address: str) -> list[TimelineEvent]:
         """Return the events that a daemon keeps in memory.
 
-        :raises RequestError: if it did not answer.
+        :raises RequestError: if there is no valid response.
         """
-        return await self.ask(address, "events", list[TimelineEvent])
+        return await self.fetch_resource(address, "events", list[TimelineEvent])
 
     async def fetch_status(self, address: str) -> DaemonStatus:
         """Return a daemon's status.
 
-        :raises RequestError: if it did not answer.
+        :raises RequestError: if there is no valid response.
         """
-        return await self.ask(address, "status", DaemonStatus)
+        return await self.fetch_resource(address, "status", DaemonStatus)
 
-    async def ask(self, address: str, name: str, kind: type[_T]) -> _T:
-        """Ask for one of the daemon's own paths.
+    async def fetch_resource(
+        self, address: str, name: str, response_type: type[_T]
+    ) -> _T:
+        """Fetch and decode a resource under the daemon's reserved path.
 
-        :raises RequestError: if it did not answer, or with something else.
+        :raises RequestError: if there is no valid response.
         """
         request = HttpRequest(
             address=address,
@@ -54,14 +56,16 @@
             headers=(("host", address),),
             body=yield_body(b""),
             idempotent=True,
-            time_left=ASK_TIMEOUT,
+            time_left=REQUEST_TIMEOUT,
         )
-        answer = await self.client.send(request)
-        data = await read_complete_body(answer)
+        response = await self.client.send(request)
+        data = await read_complete_body(response)
         try:
-            if answer.status == OK:
-                return msgspec.json.decode(data, type=kind)
+            if response.status == STATUS_OK:
+                return msgspec.json.decode(data, type=response_type)
         except msgspec.MsgspecError:
             pass
-        message = f"{address} is not a daemon: it answered with {answer.status}"
+        message = (
+            f"{address} did not respond as a daemon does: HTTP status {response.status}"
+        )
         raise ConnectionFailedError(message, Verdict.RUN)
--- a/src/wagtailstep/network/log_client.py
+++ b/src/wagtailstep/network/log_client.py
@@ -21,19 +21,19 @@
 _CREATED = 201
 _OK = 200
 _GONE = 410
-# The service answers these before it does anything with the request.
-_WITHOUT_EFFECT = frozenset({400, 404, 413, 429, 503})
+# With these statuses the service has rejected a request without applying it.
+_NOT_APPLIED_STATUSES = frozenset({400, 404, 413, 429, 503})
 
 _T = TypeVar("_T")
 
 
 class HttpLogService(LogService):
-    """The log service behind ``host:port``.
+    """Client of the log service at ``host:port``.
 
-    Each call sends its request once. An append that was sent and not answered is
-    reported as unknown, never sent again.
+    Each call sends its request once. An append that was sent without a response is
+    reported as unknown and not retried.
 
-    :param settings: where the service is and how long a call may take.
+    :param settings: address of the service and time limit of a call.
     :raises SettingsError: if the address is not ``host:port``.
     """
 
@@ -51,9 +51,11 @@
         if reply.status == _CREATED:
             return _decode(reply, AppendReply).offset
         text = f"append to stream {stream!r} got HTTP status {reply.status}"
-        if reply.status in _WITHOUT_EFFECT:
-            raise LogUnavailableError(f"{text} and had no effect; try again later")
-        raise AppendUnknownError(f"{text} and may have taken effect; read to find out")
+        if reply.status in _NOT_APPLIED_STATUSES:
+            raise LogUnavailableError(f"{text} and was not applied; retry later")
+        raise AppendUnknownError(
+            f"{text} and may have been applied; read the stream to find out"
+        )
 
     async def read(self, stream: str, offset: int, limit: int = 1000) -> LogBatch:
         """Read records; see :meth:`LogService.read`."""
@@ -61,9 +63,11 @@
         reply = await self.calls.read(f"{_path(stream)}/records?{query}", self.timeout)
         if reply.status == _GONE:
             raise RecordExpiredError(_decode(reply, StreamReply).oldest_offset)
-        answer = _decode_ok(reply, ReadReply)
-        records = tuple(LogRecord(item.offset, item.data) for item in answer.records)
-        return LogBatch(records, answer.next_offset, answer.oldest_offset)
+        read_reply = _decode_ok(reply, ReadReply)
+        records = tuple(
+            LogRecord(item.offset, item.data) for item in read_reply.records
+        )
+        return LogBatch(records, read_reply.next_offset, read_reply.oldest_offset)
 
     async def oldest_offset(self, stream: str) -> int:
         """Return the oldest offset; see :meth:`LogService.oldest_offset`."""
@@ -71,18 +75,18 @@
         return _decode_ok(reply, StreamReply).oldest_offset
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the persistent connections."""
         self.calls.close()
 
 
 def split_address(address: str) -> tuple[str, int]:
     """Split ``host:port``.
 
-    :raises SettingsError: if ``address`` is something else.
+    :raises SettingsError: if ``address`` has another form.
     """
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal() or int(port) > 65_535:
-        raise SettingsError(f"log address {address!r} is not host:port")
+        raise SettingsError(f"log address {address!r} is invalid; give host:port")
     return host.strip("[]"), int(port)
 
 
@@ -90,17 +94,19 @@
     return f"/streams/{quote(stream, safe='')}"
 
 
-def _decode_ok(reply: HttpReply, kind: type[_T]) -> _T:
+def _decode_ok(reply: HttpReply, reply_type: type[_T]) -> _T:
     if reply.status != _OK:
-        raise LogUnavailableError(f"the log answered with HTTP status {reply.status}")
-    return _decode(reply, kind)
+        raise LogUnavailableError(
+            f"the log service responded with HTTP status {reply.status}"
+        )
+    return _decode(reply, reply_type)
 
 
-def _decode(reply: HttpReply, kind: type[_T]) -> _T:
+def _decode(reply: HttpReply, reply_type: type[_T]) -> _T:
     try:
-        return msgspec.json.decode(reply.body, type=kind)
+        return msgspec.json.decode(reply.body, type=reply_type)
     except msgspec.MsgspecError as error:
-        text = f"the log's answer (HTTP status {reply.status}) is malformed: {error}"
-        if kind is AppendReply:
+        text = f"malformed log response with HTTP status {reply.status}: {error}"
+        if reply_type is AppendReply:
             raise AppendUnknownError(text) from error
         raise LogUnavailableError(text) from error
--- a/src/wagtailstep/network/metrics.py
+++ b/src/wagtailstep/network/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one daemon, by OpenTelemetry, read over HTTP as JSON or as text."""
+"""OpenTelemetry metrics of one daemon, exported as JSON or Prometheus text."""
 
 from collections.abc import Callable, Iterable, Mapping
 from datetime import timedelta
@@ -19,14 +19,15 @@
 
 
 class MetricsRecorder:
-    """Count outcomes and observe the blackboard.
+    """Record outcomes from events and export gauges of the blackboard.
 
-    It takes events as a controller does and never has effects. Attributes never name
-    targets or client accounts; only requests and their latency are kept by route, and
-    OpenTelemetry counts what goes beyond 2,000 combinations together.
+    It handles events as a controller does and has no effects. To limit cardinality,
+    attributes never name targets or client accounts, and only requests and their
+    latency are recorded per route. OpenTelemetry aggregates attribute sets beyond
+    2,000 into one overflow set.
 
-    :param blackboard: what the gauges show.
-    :param clock: tells the age of the table.
+    :param blackboard: source of the gauges.
+    :param clock: used for the age of the table.
     """
 
     def __init__(self, blackboard: Blackboard, clock: Clock) -> None:
@@ -65,20 +66,20 @@
         self.attempts = self.meter.create_counter(
             "wagtailstep.attempts", unit="1", description="Attempts that ended."
         )
-        self.latency = self.meter.create_histogram(
+        self.attempt_latency = self.meter.create_histogram(
             "wagtailstep.attempt.duration",
             unit="s",
             description="Time from sending to the head of the answer or the failure.",
         )
-        self.work = self.meter.create_histogram(
+        self.work_duration = self.meter.create_histogram(
             "wagtailstep.work.duration",
             unit="s",
             description="Time that the backend server beside this daemon worked.",
         )
-        self.observe_blackboard()
+        self.add_blackboard_gauges()
 
-    def observe_blackboard(self) -> None:
-        """Register the gauges."""
+    def add_blackboard_gauges(self) -> None:
+        """Register the gauges that read the blackboard."""
         gauges = {
             "wagtailstep.table.version": lambda: self.blackboard.table.version,
             "wagtailstep.members": lambda: len(self.blackboard.members),
@@ -87,12 +88,14 @@
             "wagtailstep.log.reachable": lambda: int(self.blackboard.log_reachable),
         }
         for name, read in gauges.items():
-            self.meter.create_observable_gauge(name, [_make_callback(read)])
+            self.meter.create_observable_gauge(name, [_create_gauge_callback(read)])
         self.meter.create_observable_gauge(
-            "wagtailstep.table.age", [_make_callback(self.read_table_age)], unit="s"
+            "wagtailstep.table.age",
+            [_create_gauge_callback(self.compute_table_age)],
+            unit="s",
         )
 
-    def watch_services(
+    def add_service_gauge(
         self, name: str, unit: str, read: Callable[[], Mapping[str, float]]
     ) -> None:
         """Register a gauge with a value for each service.
@@ -106,16 +109,16 @@
 
         self.meter.create_observable_gauge(name, [observe], unit=unit)
 
-    def read_table_age(self) -> float:
-        """Return the seconds since the table in force came into force."""
+    def compute_table_age(self) -> float:
+        """Return the seconds since the current table took effect."""
         return (self.clock.monotonic() - self.table_since) / timedelta(seconds=1)
 
-    def count_store_call(self, outcome: str) -> None:
-        """Count a call to the platform's store that ended."""
+    def record_store_call(self, outcome: str) -> None:
+        """Count a finished call to the platform's store by its outcome."""
         self.store_calls.add(1, {"outcome": outcome})
 
     def handle(self, event: Any) -> list[Any]:
-        """Count the event if it is the end of a request, an attempt or its work."""
+        """Record the end of a request, an attempt or work of the backend server."""
         if isinstance(event, Tick) and self.table_version != (
             version := self.blackboard.table.version
         ):
@@ -126,7 +129,7 @@
             self.request_latency.record(event.duration.total_seconds(), route)
         if isinstance(event, WorkEnded):
             result = {"result": event.result.value}
-            self.work.record(event.duration.total_seconds(), result)
+            self.work_duration.record(event.duration.total_seconds(), result)
         if isinstance(event, AttemptEnded):
             attributes = {
                 "service": event.request.service,
@@ -135,20 +138,20 @@
             }
             self.attempts.add(1, attributes)
             service = {"service": event.request.service}
-            self.latency.record(event.latency.total_seconds(), service)
+            self.attempt_latency.record(event.latency.total_seconds(), service)
         return []
 
     def export_text(self) -> bytes:
-        """Return all metrics in the text form that collectors read."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def export_json(self) -> str:
-        """Return all metrics as JSON in OpenTelemetry's data model."""
+        """Return all metrics as JSON in the OpenTelemetry data model."""
         data = self.reader.get_metrics_data()
         return "{}" if data is None else data.to_json(indent=None)
 
 
-def _make_callback(read: Any) -> Any:
+def _create_gauge_callback(read: Any) -> Any:
     def observe(_: CallbackOptions) -> Iterable[Observation]:
         yield Observation(read())
 
--- a/src/wagtailstep/network/peer_channel.py
+++ b/src/wagtailstep/network/peer_channel.py
@@ -1,4 +1,4 @@
-"""The control channel between daemons, on ZeroMQ."""
+"""The control channel between daemons, over ZeroMQ."""
 
 import asyncio
 import logging
@@ -32,14 +32,14 @@
 
 @attrs.define
 class ChannelCounters:
-    """What a channel has carried.
+    """Traffic counters of a channel.
 
     :param sent: messages handed to ZeroMQ.
-    :param sent_bytes: their size, framing of the transport left out.
-    :param received: messages that arrived.
-    :param received_bytes: their size, framing of the transport left out.
+    :param sent_bytes: their size without the framing of the transport.
+    :param received: messages received.
+    :param received_bytes: their size without the framing of the transport.
     :param dropped: messages dropped before they were sent.
-    :param malformed: messages that arrived and could not be read.
+    :param malformed: received messages that could not be decoded.
     :param connections: connections opened.
     """
 
@@ -54,30 +54,30 @@
 
 @attrs.define
 class PeerConnection:
-    """One connection for sending.
+    """An outgoing connection.
 
     :param socket: a DEALER socket.
-    :param opened_at: milliseconds of the clock.
-    :param used_at: milliseconds of the clock.
-    :param pending: messages that wait for the connection, with the time in
-        milliseconds at which each is dropped.
+    :param opened_at: monotonic time in milliseconds.
+    :param last_used_at: monotonic time in milliseconds of the last send.
+    :param pending: messages queued until the connection is established, each with
+        the monotonic time in milliseconds at which it expires.
     """
 
     socket: zmq.Socket
     opened_at: float
-    used_at: float
+    last_used_at: float
     pending: deque[tuple[float, list[bytes]]] = attrs.field(factory=deque)
 
 
 class ZeroMqPeerChannel:
-    """Send and receive control messages; drop them rather than queue them.
+    """Control channel that drops messages instead of blocking or queueing them.
 
-    Messages wait only for a connection that is being opened, shortly and few.
-    A connection is replaced when it is old, since one that has gone silent looks
-    the same as one that works.
+    Messages are queued only while a connection is being opened, for a short time and
+    in small number. Connections are replaced when they reach a maximum age, since the
+    sender can't distinguish an unresponsive connection from a working one.
 
-    :param settings: where to bind and what this daemon is called.
-    :param clock: tells how old connections are.
+    :param settings: address to bind and identifier of this daemon.
+    :param clock: used for the age of connections.
     """
 
     def __init__(self, settings: DaemonSettings, clock: Clock) -> None:
@@ -89,13 +89,13 @@
         self.send_context = zmq.Context.shadow(self.context)
         self.router: zmq.asyncio.Socket | None = None
         self.connections: dict[str, PeerConnection] = {}
-        self.retired: list[zmq.Socket] = []
-        self.reported: set[bytes] = set()
+        self.retired_sockets: list[zmq.Socket] = []
+        self.reported_senders: set[bytes] = set()
         self.tasks: list[asyncio.Task[None]] = []
         self.retry_needed = asyncio.Event()
 
     async def start(self, deliver: Callable[[str, object], None]) -> None:
-        """Bind and begin to receive; port 0 is replaced in ``address``.
+        """Bind and start receiving; port 0 in ``address`` becomes the bound port.
 
         :param deliver: called with the sender's ``daemon_id`` and the message.
         """
@@ -108,38 +108,38 @@
         self.address = endpoint.removeprefix("tcp://")
         self.router = router
         self.tasks = [
-            asyncio.ensure_future(self._receive_all(router, deliver)),
-            asyncio.ensure_future(self._retry_all()),
-            asyncio.ensure_future(self._sweep_all()),
+            asyncio.ensure_future(self._run_receiver(router, deliver)),
+            asyncio.ensure_future(self._run_retries()),
+            asyncio.ensure_future(self._run_sweeps()),
         ]
 
     def send(self, address: str, message: object, urgent: bool = False) -> None:
         """Send one message, or drop it; never blocks and never raises.
 
         :param address: ``host:port`` of the receiver's control channel.
-        :param urgent: whether it goes before others that wait for a connection.
+        :param urgent: whether it precedes other messages queued for the connection.
         """
         frames = [self.daemon_id, encode_message(message)]
         connection = self._connect(address)
         if connection is None:
             self.counters.dropped += 1
             return
-        connection.used_at = self._now_ms()
+        connection.last_used_at = self._now_ms()
         if connection.pending or not self._send_now(connection, frames):
-            self._wait_for_connection(connection, frames, urgent)
+            self._queue_for_connection(connection, frames, urgent)
 
     async def close(self) -> None:
-        """Stop receiving, drop what was not sent, and log what was carried."""
+        """Stop receiving, drop unsent messages and log the counters."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         log_event(LOGGER, "channel-closed", **attrs.asdict(self.counters))
         for connection in self.connections.values():
             connection.socket.close()
-        for socket in self.retired:
+        for socket in self.retired_sockets:
             socket.close()
         self.connections.clear()
-        self.retired.clear()
+        self.retired_sockets.clear()
         if self.router is not None:
             self.router.close()
         self.context.term()
@@ -152,7 +152,7 @@
         if connection is not None:
             return connection
         if len(self.connections) >= MAX_CONNECTIONS:
-            self._retire_least_used()
+            self._retire_least_recently_used()
         now = self._now_ms()
         socket = self._open_socket(address)
         if socket is None:
@@ -192,7 +192,7 @@
         self.counters.sent_bytes += sum(map(len, frames))
         return True
 
-    def _wait_for_connection(
+    def _queue_for_connection(
         self, connection: PeerConnection, frames: list[bytes], urgent: bool
     ) -> None:
         if len(connection.pending) >= MAX_PENDING:
@@ -205,7 +205,7 @@
             connection.pending.append(item)
         self.retry_needed.set()
 
-    async def _retry_all(self) -> None:
+    async def _run_retries(self) -> None:
         while True:
             await self.retry_needed.wait()
             self.retry_needed.clear()
@@ -227,27 +227,29 @@
                 self.retry_needed.set()
                 return
 
-    async def _sweep_all(self) -> None:
+    async def _run_sweeps(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_MS / 1_000)
-            while self.retired:
-                self.retired.pop().close()
+            while self.retired_sockets:
+                self.retired_sockets.pop().close()
             now = self._now_ms()
             for address, connection in list(self.connections.items()):
-                idle = now - connection.used_at >= IDLE_TIMEOUT_MS
+                idle = now - connection.last_used_at >= IDLE_TIMEOUT_MS
                 old = now - connection.opened_at >= MAX_CONNECTION_AGE_MS
                 if (idle or old) and not connection.pending:
                     self._retire(address)
 
     def _retire(self, address: str) -> None:
-        # It is closed at the next sweep, so that what was just sent still leaves.
-        self.retired.append(self.connections.pop(address).socket)
+        # Closed at the next sweep, so that messages just sent can still be delivered.
+        self.retired_sockets.append(self.connections.pop(address).socket)
 
-    def _retire_least_used(self) -> None:
-        least = min(self.connections, key=lambda name: self.connections[name].used_at)
-        self._retire(least)
+    def _retire_least_recently_used(self) -> None:
+        least_recently_used = min(
+            self.connections, key=lambda name: self.connections[name].last_used_at
+        )
+        self._retire(least_recently_used)
 
-    async def _receive_all(
+    async def _run_receiver(
         self, router: zmq.asyncio.Socket, deliver: Callable[[str, object], None]
     ) -> None:
         while True:
@@ -261,7 +263,9 @@
     ) -> None:
         try:
             if len(frames) != 3:
-                raise DecodeError(f"a message has 2 parts, not {len(frames) - 1}")
+                raise DecodeError(
+                    f"expected a message of 2 parts, got {len(frames) - 1}"
+                )
             sender = frames[1].decode()
             message = decode_message(frames[2])
         except (DecodeError, UnicodeDecodeError) as error:
@@ -275,9 +279,12 @@
     def _report_malformed(self, frames: list[bytes], error: Exception) -> None:
         self.counters.malformed += 1
         sender = frames[1] if len(frames) == 3 else b""
-        if sender in self.reported or len(self.reported) >= MAX_REPORTED_SENDERS:
+        if (
+            sender in self.reported_senders
+            or len(self.reported_senders) >= MAX_REPORTED_SENDERS
+        ):
             return
-        self.reported.add(sender)
+        self.reported_senders.add(sender)
         log_event(
             LOGGER,
             "message-malformed",
--- a/src/wagtailstep/network/runtime.py
+++ b/src/wagtailstep/network/runtime.py
@@ -1,4 +1,4 @@
-"""The runtime of a daemon: events to the controllers, effects to the outside."""
+"""Runtime that dispatches events to controllers and carries out their effects."""
 
 import asyncio
 import functools
@@ -42,8 +42,8 @@
 
 
 @attrs.define
-class Outside:
-    """What the runtime reaches the outside with.
+class RuntimeAdapters:
+    """The adapters through which the runtime carries out effects.
 
     :param log: the platform's log service.
     :param channel: control channel to the other daemons.
@@ -58,13 +58,13 @@
 
 
 class Runtime:
-    """Feed events to the controllers one at a time and apply their effects.
+    """Dispatch events to the controllers one at a time and apply their effects.
 
     :param settings: settings of the daemon.
-    :param blackboard: what the daemon knows.
-    :param clock: gives the time of recorded events.
+    :param blackboard: shared state of the daemon.
+    :param clock: source of the time of recorded events.
     :param rng: seeded random generator.
-    :param outside: adapters that carry out effects.
+    :param adapters: adapters that carry out effects.
     """
 
     def __init__(
@@ -73,31 +73,31 @@
         blackboard: Blackboard,
         clock: Clock,
         rng: random.Random,
-        outside: Outside,
+        adapters: RuntimeAdapters,
     ) -> None:
         self.settings = settings
         self.blackboard = blackboard
         self.rng = rng
-        self.outside = outside
+        self.adapters = adapters
         self.timeline = Timeline(settings, blackboard, clock)
         self.handlers: list[tuple[Controller, Callable[[Any], list[Any]]]] = []
-        self.listeners: dict[type, Callable[[Any], None]] = {}
+        self.effect_handlers: dict[type, Callable[[Any], None]] = {}
         self.followers: dict[str, LogFollower] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
     @property
     def controllers(self) -> Sequence[Controller]:
-        """The controllers, in the order in which they take events."""
+        """The controllers, in the order in which they handle events."""
         return tuple(controller for controller, _ in self.handlers)
 
     @controllers.setter
     def controllers(self, controllers: Sequence[Controller]) -> None:
-        # Looking up a single-dispatch method costs more than calling it.
+        # Bound once: the lookup of a singledispatch method costs more than its call.
         self.handlers = [(each, each.handle) for each in controllers]
 
     async def start(self) -> None:
         """Start receiving messages and ticking."""
-        await self.outside.channel.start(self.receive)
+        await self.adapters.channel.start(self.handle_peer_message)
         self.spawn(self.run_ticks())
 
     async def close(self) -> None:
@@ -105,12 +105,12 @@
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        await self.outside.channel.close()
+        await self.adapters.channel.close()
 
     def dispatch(self, event: Any) -> None:
-        """Give one event to each controller in turn and apply the effects.
+        """Pass one event to each controller in turn and apply the effects.
 
-        An error of one controller is logged and keeps nothing from the others.
+        An exception in one controller is logged; the others still get the event.
         """
         for controller, handle in self.handlers:
             try:
@@ -127,14 +127,14 @@
     def apply_all(self, effects: Sequence[Any]) -> None:
         """Apply effects in order."""
         for effect in effects:
-            listener = self.listeners.get(type(effect))
+            listener = self.effect_handlers.get(type(effect))
             if listener is None:
                 apply_effect(effect, self)
             else:
                 listener(effect)
 
-    def receive(self, sender: str, message: object) -> None:
-        """Take a message of another daemon from the control channel."""
+    def handle_peer_message(self, sender: str, message: object) -> None:
+        """Handle a message from another daemon on the control channel."""
         if not isinstance(message, StampedMessage):
             log_event(LOGGER, "message-not-stamped", logging.WARNING, sender=sender)
             return
@@ -149,7 +149,7 @@
         self.dispatch(PeerMessageReceived(sender, body))
 
     async def run_ticks(self) -> None:
-        """Dispatch a tick at a steady interval."""
+        """Dispatch a tick at a fixed interval."""
         while True:
             self.dispatch(Tick())
             await asyncio.sleep(TICK_INTERVAL_MS / 1_000)
@@ -158,22 +158,22 @@
         """Run a coroutine until it ends or the runtime closes."""
         task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self.end_task)
+        task.add_done_callback(self.handle_task_done)
 
-    def end_task(self, task: asyncio.Task[None]) -> None:
-        """Forget a task; one that failed is a fault of this program and is logged."""
+    def handle_task_done(self, task: asyncio.Task[None]) -> None:
+        """Discard a finished task; an exception in it is a bug and is logged."""
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             LOGGER.error("event=task-failed", exc_info=task.exception())
 
     def record_event(self, kind: str, **fields: object) -> None:
-        """Put an event on the time line and write it to the log output."""
+        """Add an event to the timeline and write it to the log output."""
         texts = {key: str(value) for key, value in fields.items()}
         self.timeline.record(kind, texts)
         log_event(LOGGER, kind, **texts)
 
-    def report_log(self, reachable: bool) -> None:
-        """Note whether the log service answers; changes become events."""
+    def record_log_reachability(self, reachable: bool) -> None:
+        """Record whether the log service is reachable and dispatch changes."""
         if reachable == self.blackboard.log_reachable:
             return
         self.blackboard.log_reachable = reachable
@@ -181,29 +181,29 @@
         self.dispatch(LogReachability(reachable))
 
     async def append(self, effect: AppendToLog) -> None:
-        """Append a record to the log and dispatch how that ended."""
+        """Append a record to the log and dispatch the outcome."""
         data = encode_message(effect.record)
         offset = None
         may_have_applied = False
         try:
-            offset = await self.outside.log.append(effect.stream, data)
+            offset = await self.adapters.log.append(effect.stream, data)
         except LogUnavailableError:
-            self.report_log(False)
+            self.record_log_reachability(False)
         except LogError:
             may_have_applied = True
         self.wake_follower(effect.stream)
         self.dispatch(LogAppendFinished(effect.append_id, offset, may_have_applied))
 
     def wake_follower(self, stream: str) -> None:
-        """Read a followed stream now, since it has grown."""
+        """Read a followed stream now, as it may have grown."""
         follower = self.followers.get(stream)
         if follower is not None:
             follower.wake_up.set()
 
     def follow(self, stream: str, poll_ms: int = 0) -> None:
-        """Begin to follow a stream; a second call has no effect.
+        """Start following a stream unless it is followed already.
 
-        :param poll_ms: time between two reads; 0 takes it from the settings.
+        :param poll_ms: poll interval; 0 uses the one from the settings.
         """
         if stream in self.followers:
             return
@@ -212,35 +212,35 @@
             settings = attrs.evolve(settings, poll_ms=poll_ms)
         follower = LogFollower(
             settings,
-            self.outside.log,
+            self.adapters.log,
             stream,
             self.dispatch,
-            self.report_log,
+            self.record_log_reachability,
             self.rng,
         )
         self.followers[stream] = follower
         self.spawn(follower.run())
 
     async def register_member(self, effect: RegisterMember) -> None:
-        """Write this daemon's record to the registry of members."""
+        """Write this daemon's record to the member registry; dispatch the outcome."""
         data = effect.peer_address.encode()
         succeeded = True
         try:
-            await self.outside.store.put(Collection.MEMBERS, effect.daemon_id, data)
+            await self.adapters.store.put(Collection.MEMBERS, effect.daemon_id, data)
         except LogError as error:
             succeeded = False
             log_event(LOGGER, "member-not-registered", error=error)
         self.dispatch(MemberRegistered(succeeded))
 
     async def unregister_member(self) -> None:
-        """Remove this daemon's record from the registry, if there is one."""
+        """Remove this daemon's record from the member registry, if one is used."""
         if self.settings.membership.member_source == "registry":
             await self.register_member(RegisterMember(self.settings.daemon_id, ""))
 
     async def list_members(self) -> None:
-        """Read the registry of members and dispatch what it names."""
+        """Read the member registry and dispatch the addresses in it."""
         try:
-            records = await self.outside.store.read_newest(Collection.MEMBERS)
+            records = await self.adapters.store.read_newest(Collection.MEMBERS)
         except LogError as error:
             log_event(LOGGER, "members-not-listed", error=error)
             return
@@ -253,23 +253,23 @@
 
     async def run_probe(self, effect: ProbeTarget) -> None:
         """Probe a target and dispatch the result."""
-        self.dispatch(await self.outside.probe(effect))
+        self.dispatch(await self.adapters.probe(effect))
 
 
 @functools.singledispatch
 def apply_effect(effect: Any, runtime: Runtime) -> None:
     """Carry out one effect.
 
-    :raises TypeError: if nothing is known about effects of this type.
+    :raises TypeError: if no handler is registered for this type of effect.
     """
-    raise TypeError(f"no way to apply {type(effect).__name__}")
+    raise TypeError(f"no handler for effects of type {type(effect).__name__}")
 
 
 @apply_effect.register
 def _(effect: SendToPeer, runtime: Runtime) -> None:
     body = encode_message(effect.message)
     stamped = StampedMessage(runtime.timeline.stamp_message(), body)
-    runtime.outside.channel.send(effect.address, stamped, effect.urgent)
+    runtime.adapters.channel.send(effect.address, stamped, effect.urgent)
 
 
 @apply_effect.register
--- a/src/wagtailstep/network/table_follower.py
+++ b/src/wagtailstep/network/table_follower.py
@@ -1,4 +1,4 @@
-"""Following the table that operators publish in the platform's store."""
+"""Follower of the table that operators publish in the platform's store."""
 
 import asyncio
 import logging
@@ -13,32 +13,33 @@
 from wagtailstep.utils.logging import log_event
 
 LOGGER = logging.getLogger(__name__)
-# One call of each daemon waits at the store. Its length is drawn anew each time, so
-# that after an outage that lost all these calls some daemon soon asks again and
-# passes on what it reads; see docs/design/platform.md. That takes about as many calls
-# a second of all daemons together, so in large fleets each waits for longer.
+# Each daemon keeps one long-poll read open at the store. The wait is random, so that
+# after an outage that lost all these reads some daemon soon reads again and propagates
+# the result to its peers; see docs/design/platform.md. This rate is for the whole
+# fleet, so each daemon waits longer in a larger fleet.
 CALLS_PER_S = 4.0
-LEAST_MEAN_WAIT_S = 7.0
-# With the spread below the 30 s for which the store lets a read wait.
-MOST_MEAN_WAIT_S = 20.0
+MIN_MEAN_WAIT_S = 7.0
+# Including the spread, below the 30 s for which the store lets a read wait.
+MAX_MEAN_WAIT_S = 20.0
 WAIT_SPREAD = 0.4
-# A store that refuses calls is asked again within its bound for changes, 2 s.
-FIRST_BACKOFF_S = 0.2
-LONGEST_BACKOFF_S = 1.5
+# A call that the store refused is retried within 2 s, the store's bound for changes.
+INITIAL_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 1.5
 
 FindDocument = Callable[[KeyedRecords], TableDocument | None]
 
 
 class TableFollower:
-    """Read the newest table, then wait for changes, through outages.
+    """Read the newest table, then long-poll for changes, and continue through outages.
 
     :param store: the platform's store.
-    :param find_document: finds the table's document among records; it raises
-        :class:`DecodeError` if it can't be read.
-    :param dispatch: takes :class:`TablePublished`.
-    :param report: told after each call whether the store was reachable.
-    :param rng: draws waits and pauses.
-    :param count_daemons: returns how many daemons follow the table, as known now.
+    :param find_document: returns the table's document among records, if any; raises
+        :class:`DecodeError` if the document can't be decoded.
+    :param dispatch: called with :class:`TablePublished` events.
+    :param report_reachability: called after each call to the store with whether it
+        was reachable.
+    :param rng: source of random waits and back-off.
+    :param count_daemons: returns the number of daemons currently known.
     """
 
     def __init__(
@@ -46,14 +47,14 @@
         store: KeyedStore,
         find_document: FindDocument,
         dispatch: Callable[[Any], None],
-        report: Callable[[bool], None],
+        report_reachability: Callable[[bool], None],
         rng: random.Random,
         count_daemons: Callable[[], int] = lambda: 1,
     ) -> None:
         self.store = store
         self.find_document = find_document
         self.dispatch = dispatch
-        self.report = report
+        self.report_reachability = report_reachability
         self.rng = rng
         self.count_daemons = count_daemons
         self.offset: int | None = None
@@ -68,32 +69,32 @@
                 log_event(LOGGER, "table-history-lost", oldest_offset=error.oldest)
                 self.offset = None
             except LogError as error:
-                self.report(False)
+                self.report_reachability(False)
                 await self.back_off(error)
             else:
                 self.backoff_s = 0.0
-                self.report(True)
-                self.take(records)
+                self.report_reachability(True)
+                self.handle_records(records)
 
     async def read(self) -> KeyedRecords:
-        """Read the newest records, or wait for those that follow.
+        """Read the newest records, or wait for changes after those already read.
 
-        :raises LogError: if there was no answer.
+        :raises LogError: if the call failed.
         """
         if self.offset is None:
             return await self.store.read_newest(Collection.TABLE)
-        wait = self.draw_wait()
+        wait = self.choose_wait()
         return await self.store.read_changes(Collection.TABLE, self.offset, wait)
 
-    def draw_wait(self) -> timedelta:
-        """Return how long the next read may wait for a change."""
+    def choose_wait(self) -> timedelta:
+        """Return a random time for which the next read may wait for a change."""
         mean_s = self.count_daemons() / CALLS_PER_S
-        mean_s = min(MOST_MEAN_WAIT_S, max(LEAST_MEAN_WAIT_S, mean_s))
+        mean_s = min(MAX_MEAN_WAIT_S, max(MIN_MEAN_WAIT_S, mean_s))
         factor = self.rng.uniform(1 - WAIT_SPREAD, 1 + WAIT_SPREAD)
         return timedelta(seconds=mean_s * factor)
 
-    def take(self, records: KeyedRecords) -> None:
-        """Dispatch the document among records, if there is one."""
+    def handle_records(self, records: KeyedRecords) -> None:
+        """Dispatch the table's document if the records contain it."""
         self.offset = records.next_offset
         try:
             document = self.find_document(records)
@@ -104,9 +105,9 @@
             self.dispatch(TablePublished(document, "store"))
 
     async def back_off(self, error: LogError) -> None:
-        """Wait before the next call; longer after each failure."""
-        doubled = max(FIRST_BACKOFF_S, 2 * self.backoff_s)
+        """Wait before the next call, twice as long after each failure up to a limit."""
+        next_backoff_s = max(INITIAL_BACKOFF_S, 2 * self.backoff_s)
         if not self.backoff_s:
             log_event(LOGGER, "store-call-failed", logging.WARNING, error=error)
-        self.backoff_s = min(LONGEST_BACKOFF_S, doubled)
+        self.backoff_s = min(MAX_BACKOFF_S, next_backoff_s)
         await asyncio.sleep(self.backoff_s * self.rng.uniform(0.5, 1.5))
