--- a/benchmarks/control_fleet.py
+++ b/benchmarks/control_fleet.py
@@ -216,9 +216,9 @@
     seed = bus.nodes[bus.rng.choice(names)].address
     settings = attrs.evolve(old.controllers[0].settings, seeds=(seed,))
     this = old.blackboard.this_member
-    services = sorted({target.service for target in old.announced.values()})
+    services = sorted({target.service for target in old.announced_targets.values()})
     wanted = [name for name in this.services if name not in services]
-    per_service = len(old.announced) // len(services)
+    per_service = len(old.announced_targets) // len(services)
     bus.add(
         daemon_id,
         settings,
@@ -243,7 +243,9 @@
 def count_missing(bus: MeasuredBus) -> tuple[int, int]:
     """Return how many targets observed daemons lack, and how many they need."""
     missing = needed = 0
-    targets = [t for node in bus.nodes.values() for t in node.announced.values()]
+    targets = [
+        t for node in bus.nodes.values() for t in node.announced_targets.values()
+    ]
     for name in bus.observed:
         board = bus.nodes[name].blackboard
         wanted = [t for t in targets if t.service in board.this_member.services]
--- a/benchmarks/table_histories.py
+++ b/benchmarks/table_histories.py
@@ -299,7 +299,7 @@
 ) -> None:
     """Propose one edit and record what its operator is told."""
     row, value, base = change
-    edit = client.make_edit(base, make_change(row, value), Proposal(name, "history"))
+    edit = client.build_edit(base, make_change(row, value), Proposal(name, "history"))
 
     async def propose() -> int:
         try:
--- a/examples/demo_run.py
+++ b/examples/demo_run.py
@@ -228,7 +228,7 @@
         changes = plan_row_change(
             fold, "backend_server", target_id, {"weight": "0.5"}, False
         )
-        edit = client.make_edit(fold.version, changes, Proposal("demo", "halve"))
+        edit = client.build_edit(fold.version, changes, Proposal("demo", "halve"))
         outcome = await client.propose(edit)
         loop = asyncio.get_running_loop()
         accepted_at = loop.time()
--- a/features/steps/backend_server_steps.py
+++ b/features/steps/backend_server_steps.py
@@ -91,7 +91,7 @@
         await asyncio.sleep(seconds)
         request = asyncio.create_task(world.ask("GET", "/lookup"))
         await asyncio.sleep(0.05)
-        await world.backend.leave()
+        await world.backend.drain()
         context.left_after_answer = world.backend.counts.runs["/lookup"] == 1
         await request
 
@@ -131,7 +131,7 @@
 def ask_silenced(context):
     async def scenario(world):
         await world.ask("GET", "/lookup")
-        world.backend.go_silent()
+        world.backend.silence_open_connections()
         caller = Caller(world.client)
         for _ in range(2):
             await caller.call("/old", address=world.backend.address)
--- a/features/steps/control_bus_steps.py
+++ b/features/steps/control_bus_steps.py
@@ -160,7 +160,7 @@
 
 @when("the log of the bus goes away")
 def lose_log(context):
-    context.bus.log_away = True
+    context.bus.log_unavailable = True
 
 
 @when("daemon {daemon_id} hears that {other} is suspect")
@@ -193,8 +193,8 @@
 @when("the backend server beside {daemon_id} leaves")
 def leave(context, daemon_id):
     node = context.bus.nodes[daemon_id]
-    for target_id in list(node.announced):
-        del node.announced[target_id]
+    for target_id in list(node.announced_targets):
+        del node.announced_targets[target_id]
         context.bus.dispatch(node, TargetWithdrawn(target_id))
 
 
--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -11,7 +11,7 @@
 from wagtailstep.commands.table_client import Proposal, TableClient
 from wagtailstep.commands.table_edit import plan_row_change
 from wagtailstep.fakes.backend_server import BackendServer, BackendServerSettings
-from wagtailstep.fakes.log_server import make_application
+from wagtailstep.fakes.log_server import create_application
 from wagtailstep.fakes.log_service import InMemoryLogService, LogFaults
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import (
@@ -252,7 +252,7 @@
     async def start(self):
         log = InMemoryLogService(self.clock)
         log.faults.away = not self.has_table
-        log_app = make_application(log)
+        log_app = create_application(log)
         await log_app.start()
         self.log = HttpServer(log_app, lambda: None)
         log_address = await self.log.start("127.0.0.1:0")
@@ -288,7 +288,7 @@
         fold = await client.read_fold()
         cells = {"unlisted_servers": "1"}
         changes = plan_row_change(fold, "service", SERVICE, cells, False)
-        await client.propose(client.make_edit(0, changes, Proposal("test", "start")))
+        await client.propose(client.build_edit(0, changes, Proposal("test", "start")))
 
     def make_settings(self, name, ports, seed_address):
         return DaemonSettings(
@@ -396,7 +396,7 @@
     async def begin():
         request = fleet.make_request("PUT", yield_upload(), len(UPLOAD))
         context.upload = asyncio.create_task(fleet.client.send(request))
-        await wait_until(lambda: fleet.server.inside == 1)
+        await wait_until(lambda: fleet.server.requests_in_progress == 1)
         second = fleet.daemons[1]
         context.exit = asyncio.create_task(second.shut_down())
         first = fleet.daemons[0].blackboard
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -16,7 +16,7 @@
     format_causes,
 )
 from wagtailstep.commands.fleet_beliefs import (
-    find_fleet_beliefs,
+    compute_fleet_beliefs,
     format_fleet_beliefs,
 )
 from wagtailstep.controllers.retries import RetryPolicy
@@ -267,7 +267,7 @@
 @then("at second {second:d} the beliefs are")
 def check_beliefs(context, second):
     at = START + timedelta(seconds=second)
-    beliefs = find_fleet_beliefs(context.lines, at, timedelta(seconds=1))
+    beliefs = compute_fleet_beliefs(context.lines, at, timedelta(seconds=1))
     text, _, changes = format_fleet_beliefs(beliefs, at).partition("changes")
     assert text.splitlines() == [row["text"] for row in context.table], text
     near = [line for line in context.lines if abs(line.time - at) <= timedelta(0, 1)]
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -299,7 +299,7 @@
         callers = [asyncio.create_task(keep_calling(world, n)) for n in range(8)]
         await asyncio.sleep(1)
         world.set_state(TargetState.LEAVING)
-        await world.backend.leave()
+        await world.backend.drain()
         context.uploads_run = world.runs("upload")
         await asyncio.gather(upload, *callers)
 
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -25,7 +25,7 @@
 from wagtailstep.models.published_table import TableDocument
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.network.table_follower import TableFollower
-from wagtailstep.platform.configuration import find_document, read_document
+from wagtailstep.platform.configuration import build_table, find_document
 from wagtailstep.platform.heartbeats import HeartbeatRoutes
 from wagtailstep.platform.settings import PlatformSettings, StoreSettings
 from wagtailstep.platform.stand_in import StandInStore
@@ -69,17 +69,17 @@
 @given("the platform's example configuration")
 def set_configuration(context):
     context.document = TableDocument(7, CONFIGURATION.encode())
-    context.routes = {r.name: r for r in read_document(context.document).host_routes}
+    context.routes = {r.name: r for r in build_table(context.document).host_routes}
 
 
 @then("its version is {version:d}")
 def check_version(context, version):
-    assert read_document(context.document).version == version
+    assert build_table(context.document).version == version
 
 
 @then("callers may send bodies of {size:d} bytes by it")
 def check_limit(context, size):
-    assert read_document(context.document).max_body_bytes == size
+    assert build_table(context.document).max_body_bytes == size
 
 
 @then(
@@ -114,7 +114,7 @@
     except (msgspec.MsgspecError, LookupError, TypeError, ValueError):
         number = 1
     try:
-        read_document(TableDocument(number, data))
+        build_table(TableDocument(number, data))
     except DecodeError:
         return False
     return True
@@ -184,7 +184,7 @@
     """Return the announcement of a heartbeat, or ``None``."""
     routes = HeartbeatRoutes(lambda event: None, SETTINGS, LoopClock())
     try:
-        return routes.read("i-1", body)
+        return routes.parse_heartbeat("i-1", body)
     except (msgspec.MsgspecError, BadRequestError, DecodeError):
         return None
 
@@ -278,7 +278,7 @@
         store.faults.status = 503
         await asyncio.sleep(11)
         store.put("keyed.op", "config", configure(version))
-        store.topic("keyed.op").compact()
+        store.get_topic("keyed.op").compact()
         store.faults.status = 0
         await asyncio.sleep(5)
 
@@ -294,12 +294,12 @@
         await asyncio.sleep(1)
         store.faults.status = 503 if fault == "busy" else 0
         store.faults.silent = fault == "silent"
-        store.faults.garbled = fault == "garbled"
+        store.faults.truncated_answers = fault == "garbled"
         await asyncio.sleep(seconds / 2)
         store.put("keyed.op", "config", configure(version))
         await asyncio.sleep(seconds / 2)
         store.faults.status, store.faults.silent = 0, False
-        store.faults.garbled = False
+        store.faults.truncated_answers = False
         context.changed_at = asyncio.get_running_loop().time()
         await asyncio.sleep(15)
 
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -74,14 +74,14 @@
 
 @when("its settings file gets {change} and is checked {count:d} times")
 def check_file(context, change, count):
-    def read_again():
+    def reread_settings():
         return structure_settings(context.raw, DaemonSettings, "daemon.json")
 
-    reloader = SettingsReloader(read_again(), read_again)
-    reloader.check()
+    reloader = SettingsReloader(reread_settings(), reread_settings)
+    reloader.reload_if_changed()
     context.raw = {**context.raw, **json.loads(change)}
     for _ in range(count):
-        reloader.check()
+        reloader.reload_if_changed()
 
 
 @then('one line says "{text}"')
--- a/features/steps/table_program_steps.py
+++ b/features/steps/table_program_steps.py
@@ -81,7 +81,7 @@
     with mock.patch.dict(
         "os.environ", {table_arguments.LOG_VARIABLE: context.log_address}
     ):
-        table = asyncio.run(table_arguments.make_client("").read_table())
+        table = asyncio.run(table_arguments.create_table_client("").read_table())
     assert table.version == version, table.version
 
 
@@ -144,7 +144,7 @@
 @given("daemons that tell of the table")
 def tell_daemons(context):
     daemons = ToldDaemons(context.table)
-    patch = mock.patch.object(program, "make_daemon_client", lambda: daemons)
+    patch = mock.patch.object(program, "create_daemon_client", lambda: daemons)
     patch.start()
     context.add_cleanup(patch.stop)
 
@@ -172,7 +172,7 @@
 @given("the records of the table expired")
 def expire_records(context):
     context.log_server.set_faults(retention_records=1)
-    log = table_arguments.make_client(context.log_address).log
+    log = table_arguments.create_table_client(context.log_address).log
     asyncio.run(log.append(TABLE_STREAM, b"nonsense"))
     context.log_server.set_faults(retention_records=0)
 
--- a/features/steps/table_races_steps.py
+++ b/features/steps/table_races_steps.py
@@ -89,7 +89,7 @@
         try:
             await self.log.append(TABLE_STREAM, encode_message(edit))
         except AppendUnknownError:
-            again = self.make_edit(edit.base_version, edit.changes, edit)
+            again = self.build_edit(edit.base_version, edit.changes, edit)
             return await super().propose(again)
         return await super().propose(edit)
 
--- a/src/wagtailstep/cli/fakes.py
+++ b/src/wagtailstep/cli/fakes.py
@@ -29,7 +29,7 @@
     run_time_s: float = positive(3_600.0)
 
 
-def read_arguments(cls: type[_T], **values: Any) -> _T:
+def check_settings_arguments(cls: type[_T], **values: Any) -> _T:
     """Check arguments as settings are checked.
 
     :raises SettingsError: if one is wrong; the message names it.
@@ -54,13 +54,15 @@
     :param run_time_s: the program ends by itself after this time.
     """
     host, port = split_address(str(address))
-    faults = read_arguments(
+    faults = check_settings_arguments(
         LogFaults,
         retention_s=retention_s,
         retention_records=retention_records,
         appends_per_s=appends_per_s,
     )
-    limit = timedelta(seconds=read_arguments(RunTime, run_time_s=run_time_s).run_time_s)
+    limit = timedelta(
+        seconds=check_settings_arguments(RunTime, run_time_s=run_time_s).run_time_s
+    )
 
     def print_address(bound_port: int) -> None:
         print(f"listening={host}:{bound_port}", flush=True)
@@ -89,7 +91,7 @@
     :param cold_start_ms: time from start to full speed.
     :param seed: seed of random choices.
     """
-    settings = read_arguments(
+    settings = check_settings_arguments(
         BackendServerSettings,
         service=service,
         address=address,
@@ -102,7 +104,7 @@
     run_backend_servers([settings])
 
 
-def run_backends(file: str) -> None:
+def run_backend_list(file: str) -> None:
     """Serve many stand-ins for backend servers in one process.
 
     :param file: path of a JSON list of their settings.
@@ -110,7 +112,7 @@
     run_backend_servers(read_settings_list(str(file), BackendServerSettings))
 
 
-COMMANDS = {"log": run_log, "backend": run_backend, "backends": run_backends}
+COMMANDS = {"log": run_log, "backend": run_backend, "backends": run_backend_list}
 
 
 def main() -> None:
--- a/src/wagtailstep/cli/load.py
+++ b/src/wagtailstep/cli/load.py
@@ -25,14 +25,14 @@
     :param picture: path of a PNG to write; none if empty.
     """
     settings = read_settings(str(file), LoadSettings)
-    sides = asyncio.run(play(settings))
+    sides = asyncio.run(run_load(settings))
     print(format_results(sides))
     if picture:
         draw_results(sides, pathlib.Path(picture))
     return status_codes.SUCCESS
 
 
-async def play(settings: LoadSettings) -> list[SideResult]:
+async def run_load(settings: LoadSettings) -> list[SideResult]:
     """Play a load with a progress bar on standard error."""
     steps = settings.slices * len(settings.sides)
     # Shown on terminals only.
--- a/src/wagtailstep/cli/run.py
+++ b/src/wagtailstep/cli/run.py
@@ -76,7 +76,9 @@
     messages = io.StringIO()
     try:
         with contextlib.redirect_stderr(messages):
-            fire.Fire(_defer_all(commands, calls), name=name, serialize=_print_none)
+            fire.Fire(
+                _defer_commands(commands, calls), name=name, serialize=_print_none
+            )
     except FireExit as stop:
         if stop.code == 0:
             print(messages.getvalue(), file=sys.stderr)
@@ -92,15 +94,15 @@
     return None
 
 
-def _defer_all(
+def _defer_commands(
     commands: dict[str, Command] | Command, calls: list[Callable[[], int | None]]
 ) -> Any:
     if callable(commands):
-        return _defer(commands, calls)
-    return {name: _defer(command, calls) for name, command in commands.items()}
+        return _defer_command(commands, calls)
+    return {name: _defer_command(command, calls) for name, command in commands.items()}
 
 
-def _defer(
+def _defer_command(
     command: Command, calls: list[Callable[[], int | None]]
 ) -> Callable[..., None]:
     # Fire reads the signature and the doc comment through the wrapper.
--- a/src/wagtailstep/cli/table.py
+++ b/src/wagtailstep/cli/table.py
@@ -10,25 +10,25 @@
 from wagtailstep.cli import status_codes
 from wagtailstep.cli.run import run_program
 from wagtailstep.cli.table_arguments import (
+    build_proposal,
     check_addresses,
     check_number,
     check_seconds,
-    make_client,
-    make_daemon_client,
-    make_proposal,
+    create_daemon_client,
+    create_table_client,
     read_file,
 )
 from wagtailstep.commands import table_edit
 from wagtailstep.commands.table_client import Proposal, check_outcome
 from wagtailstep.commands.table_csv import write_csv
-from wagtailstep.commands.table_restore import check_lost, restore_table
+from wagtailstep.commands.table_restore import check_no_daemon_has_table, restore_table
 from wagtailstep.commands.table_show import show_history, show_rows
 from wagtailstep.commands.table_status import (
     DaemonReport,
-    ask_daemons,
     describe_reports,
+    query_daemons,
 )
-from wagtailstep.commands.table_watch import read_or_none, watch_table
+from wagtailstep.commands.table_watch import read_fold_or_none, watch_table
 from wagtailstep.exceptions import AppendUnknownError, SettingsError
 from wagtailstep.models.table_fold import TableFold
 
@@ -58,7 +58,7 @@
 
     async def read_rows() -> Iterable[str]:
         wanted = None if version is None else check_number("version", version, 0)
-        table = await make_client(log).read_table(wanted)
+        table = await create_table_client(log).read_table(wanted)
         return show_rows(table, str(kind), str(prefix))
 
     _run(read_rows)
@@ -72,7 +72,7 @@
     :param log: ``host:port`` of the log service.
     """
     wanted = None if version is None else check_number("version", version, 0)
-    table = asyncio.run(make_client(log).read_table(wanted))
+    table = asyncio.run(create_table_client(log).read_table(wanted))
     if path == "-":
         sys.stdout.write(write_csv(table))
         return
@@ -106,8 +106,8 @@
     """
 
     async def submit_change() -> Iterable[str]:
-        client = make_client(log)
-        proposal = make_proposal(author, reason)
+        client = create_table_client(log)
+        proposal = build_proposal(author, reason)
         fold = await client.read_fold()
         cells = {name: str(value) for name, value in columns.items()}
         changes = table_edit.plan_row_change(fold, str(kind), str(key), cells, remove)
@@ -145,14 +145,14 @@
     :param dry_run: show the effect and change nothing.
     :param log: ``host:port`` of the log service.
     """
-    _apply_file(path, make_proposal(author, reason), remove, dry_run, log)
+    _apply_file(path, build_proposal(author, reason), remove, dry_run, log)
 
 
 def _apply_file(
     path: str, proposal: Proposal, remove: bool, dry_run: bool, log: str
 ) -> None:
     async def submit_file() -> Iterable[str]:
-        client = make_client(log)
+        client = create_table_client(log)
         file = read_file(path)
         fold = await client.read_fold()
         base, changes = await table_edit.plan_file(client, fold, file, remove)
@@ -181,8 +181,8 @@
     """
 
     async def submit_import() -> Iterable[str]:
-        client = make_client(log)
-        proposal = make_proposal(author, reason)
+        client = create_table_client(log)
+        proposal = build_proposal(author, reason)
         file = read_file(path)
         fold = await client.read_fold()
         changes = table_edit.plan_import(fold, file, remove)
@@ -209,8 +209,8 @@
     """
 
     async def submit_revert() -> Iterable[str]:
-        client = make_client(log)
-        proposal = make_proposal(author, reason)
+        client = create_table_client(log)
+        proposal = build_proposal(author, reason)
         fold = await client.read_fold()
         wanted = check_number("version", version, 0)
         changes = await table_edit.plan_revert(client, fold, wanted)
@@ -230,7 +230,7 @@
     """
 
     async def read_history() -> Iterable[str]:
-        fold = await make_client(log).read_fold()
+        fold = await create_table_client(log).read_fold()
         return show_history(fold, str(row), check_number("limit", limit, 1))
 
     _run(read_history)
@@ -244,7 +244,7 @@
     """
 
     async def read_outcome() -> Iterable[str]:
-        fold = await make_client(log).read_fold()
+        fold = await create_table_client(log).read_fold()
         found = fold.outcome_of(str(edit_id))
         if found is None:
             raise AppendUnknownError(
@@ -267,11 +267,11 @@
     :param log: ``host:port`` of the log service.
     """
     wanted = check_addresses(addresses)
-    client = make_client(log)
+    client = create_table_client(log)
 
     async def ask() -> tuple[TableFold | None, list[DaemonReport]]:
-        reports = await ask_daemons(make_daemon_client(), wanted)
-        return await read_or_none(client), reports
+        reports = await query_daemons(create_daemon_client(), wanted)
+        return await read_fold_or_none(client), reports
 
     fold, reports = asyncio.run(ask())
     _print_lines(describe_reports(fold, reports))
@@ -293,14 +293,14 @@
     :param log: ``host:port`` of the log service.
     """
     wanted = check_addresses(addresses)
-    client = make_client(log)
+    client = create_table_client(log)
     interval = timedelta(seconds=check_seconds("interval_s", interval_s))
     run_time = timedelta(seconds=check_seconds("run_time_s", run_time_s))
 
     def show_line(line: str) -> None:
         print(line, flush=True)
 
-    daemons = make_daemon_client()
+    daemons = create_daemon_client()
     asyncio.run(watch_table(client, daemons, wanted, interval, run_time, show_line))
 
 
@@ -323,13 +323,13 @@
     :param log: ``host:port`` of the log service.
     """
     wanted = check_addresses(addresses)
-    proposal = make_proposal(author, reason)
+    proposal = build_proposal(author, reason)
     number = check_number("version", version, 1)
     file = read_file(path)
-    client = make_client(log)
+    client = create_table_client(log)
 
     async def append() -> Iterable[str]:
-        check_lost(await ask_daemons(make_daemon_client(), wanted))
+        check_no_daemon_has_table(await query_daemons(create_daemon_client(), wanted))
         count = await restore_table(client, file, number, proposal)
         return [f"restored version={number} records={count}"]
 
--- a/src/wagtailstep/cli/table_arguments.py
+++ b/src/wagtailstep/cli/table_arguments.py
@@ -19,7 +19,7 @@
 LOG_TIMEOUT_MS = 5_000
 
 
-def make_client(log: str) -> TableClient:
+def create_table_client(log: str) -> TableClient:
     """Return a client of the table in the log.
 
     :param log: ``host:port``; the environment's if empty.
@@ -33,7 +33,7 @@
     return TableClient(HttpLogService(settings), LoopClock(), random.SystemRandom())
 
 
-def make_proposal(author: str, reason: str) -> Proposal:
+def build_proposal(author: str, reason: str) -> Proposal:
     """Return who proposes an edit, and why.
 
     :raises SettingsError: if the reason is empty.
@@ -67,7 +67,7 @@
     return version
 
 
-def make_daemon_client() -> DaemonClient:
+def create_daemon_client() -> DaemonClient:
     """Return what asks daemons for their status."""
     return DaemonClient(HttpClient(RequestSettings(), LoopClock()))
 
--- a/src/wagtailstep/cli/timeline.py
+++ b/src/wagtailstep/cli/timeline.py
@@ -11,10 +11,10 @@
     count_causes,
     explain_request,
     format_causes,
-    format_story,
+    format_explanation,
 )
 from wagtailstep.commands.fleet_beliefs import (
-    find_fleet_beliefs,
+    compute_fleet_beliefs,
     format_fleet_beliefs,
 )
 from wagtailstep.commands.merge_timeline import (
@@ -44,7 +44,7 @@
     :param output: path of the file to write; standard output if empty.
     """
     check_arguments(addresses, format)
-    merged = asyncio.run(gather(addresses))
+    merged = asyncio.run(gather_events(addresses))
     text = FORMATS[format](merged)
     if output:
         pathlib.Path(output).write_text(text + "\n", encoding="utf-8")
@@ -59,7 +59,7 @@
     :param request_id: identifier of the request, as in its ``request_id`` fields.
     :param files: logs; where a line doesn't name its daemon the file's name does.
     """
-    print(format_story(explain_request(read_logs(files), str(request_id))))
+    print(format_explanation(explain_request(read_logs(files), str(request_id))))
     return status_codes.SUCCESS
 
 
@@ -87,7 +87,7 @@
     :param span_s: seconds before and after whose changes are told.
     """
     at = read_time(time)
-    beliefs = find_fleet_beliefs(read_logs(files), at, timedelta(seconds=span_s))
+    beliefs = compute_fleet_beliefs(read_logs(files), at, timedelta(seconds=span_s))
     print(format_fleet_beliefs(beliefs, at))
     return status_codes.SUCCESS
 
@@ -138,7 +138,7 @@
             raise SettingsError(f"address {address!r} is not allowed; give host:port")
 
 
-async def gather(addresses: tuple[str, ...]) -> MergedTimeline:
+async def gather_events(addresses: tuple[str, ...]) -> MergedTimeline:
     """Ask all daemons."""
     client = HttpClient(RequestSettings(), LoopClock())
     return await gather_timeline(DaemonClient(client), addresses)
--- a/src/wagtailstep/commands/explain_request.py
+++ b/src/wagtailstep/commands/explain_request.py
@@ -7,18 +7,18 @@
 import attrs
 
 from wagtailstep.commands.fleet_beliefs import (
-    MEMBER,
-    PATH,
-    STANDING,
-    find_held_beliefs,
+    MEMBER_EVENT,
+    PATH_EVENT,
+    STANDING_EVENT,
+    find_beliefs_at,
 )
 from wagtailstep.models.log_lines import LogLine, format_line
 
 MILLISECOND = timedelta(milliseconds=1)
-ENDS = ("request-ended", "request-unanswered")
-SERVED = "status-200"
+END_EVENTS = ("request-ended", "request-unanswered")
+SERVED_OUTCOME = "status-200"
 # Ends that no failure of a backend server explains, even if there was one before.
-NOT_BY_WORK = frozenset({"overloaded", "doubted", "caller-left"})
+OUTCOMES_NOT_CAUSED_BY_WORK = frozenset({"overloaded", "doubted", "caller-left"})
 
 
 @attrs.frozen
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class Story:
+class RequestExplanation:
     """What the logs tell of one request.
 
     :param request_id: identifier of the request.
@@ -49,19 +49,19 @@
     cause: str
 
 
-def explain_request(lines: Sequence[LogLine], request_id: str) -> Story:
+def explain_request(lines: Sequence[LogLine], request_id: str) -> RequestExplanation:
     """Tell the story of a request and name its cause.
 
     :param lines: lines of all daemons, those of one daemon in its order.
     """
     own = [line for line in lines if is_part_of(line, request_id)]
     ordered = sort_lines(own)
-    end = find_end(ordered, request_id)
-    beliefs = find_beliefs(lines, ordered, end) if end is not None else []
-    cause = find_cause(ordered, beliefs, request_id)
-    if not own and (missing := count_missing(lines)):
+    end = find_end_event(ordered, request_id)
+    beliefs = select_relevant_beliefs(lines, ordered, end) if end is not None else []
+    cause = determine_cause(ordered, beliefs, request_id)
+    if not own and (missing := count_dropped_lines(lines)):
         cause += f"; {missing} lines were dropped, as their reader was slow"
-    return Story(request_id, ordered, beliefs, cause)
+    return RequestExplanation(request_id, ordered, beliefs, cause)
 
 
 def is_part_of(line: LogLine, request_id: str) -> bool:
@@ -80,12 +80,12 @@
         for request_id in find_ancestors(line.request_id):
             latest[request_id] = max(latest.get(request_id, line.time), line.time)
 
-    def find_key(line: LogLine) -> tuple[datetime, int]:
-        if line.event in ENDS:
-            return latest[line.request_id], 1 + ENDS.index(line.event)
+    def get_sort_key(line: LogLine) -> tuple[datetime, int]:
+        if line.event in END_EVENTS:
+            return latest[line.request_id], 1 + END_EVENTS.index(line.event)
         return line.time, 0
 
-    return sorted(lines, key=find_key)
+    return sorted(lines, key=get_sort_key)
 
 
 def find_ancestors(request_id: str) -> Iterable[str]:
@@ -95,16 +95,18 @@
         request_id, _, _ = request_id.rpartition(".")
 
 
-def find_end(lines: Sequence[LogLine], request_id: str) -> LogLine | None:
+def find_end_event(lines: Sequence[LogLine], request_id: str) -> LogLine | None:
     """Return the event that says how a request ended at its entry."""
     ends = [
-        line for line in lines if line.event in ENDS and line.request_id == request_id
+        line
+        for line in lines
+        if line.event in END_EVENTS and line.request_id == request_id
     ]
-    attempts = [line for line in ends if line.event == ENDS[0]]
+    attempts = [line for line in ends if line.event == END_EVENTS[0]]
     return (attempts or ends or [None])[-1]
 
 
-def find_beliefs(
+def select_relevant_beliefs(
     lines: Sequence[LogLine], story: Sequence[LogLine], end: LogLine
 ) -> list[Belief]:
     """Return what the entry, and the gates it asked, believed when a request ended."""
@@ -113,39 +115,39 @@
 
     def is_relevant(line: LogLine) -> bool:
         at_entry = line.process == end.process
-        if line.event == STANDING:
+        if line.event == STANDING_EVENT:
             return line.get("target") in tried
-        if line.event == PATH:
+        if line.event == PATH_EVENT:
             return at_entry and line.get("target") in tried
-        if line.event == MEMBER:
+        if line.event == MEMBER_EVENT:
             return at_entry and line.get("member") in gates
         return at_entry
 
-    held = find_held_beliefs(lines, end.time)
+    held = find_beliefs_at(lines, end.time)
     return [Belief(line, end.time - line.time) for line in held if is_relevant(line)]
 
 
-def find_cause(
+def determine_cause(
     lines: Sequence[LogLine], beliefs: Sequence[Belief], request_id: str
 ) -> str:
     """Name the cause of a request's end in a few words."""
-    end = find_end(lines, request_id)
+    end = find_end_event(lines, request_id)
     if end is None:
-        return find_cause_without_end(lines)
+        return determine_cause_without_end(lines)
     outcome = end.get("outcome") or end.get("reason")
-    if outcome == SERVED:
+    if outcome == SERVED_OUTCOME:
         return "served"
-    call = find_failed_call(lines, request_id)
+    call = find_first_failed_call(lines, request_id)
     if call is not None and outcome.startswith("status-"):
-        because = find_cause(lines, beliefs, call.request_id)
+        because = determine_cause(lines, beliefs, call.request_id)
         return f"a call to {call.get('service') or 'a service'} failed: {because}"
-    work = find_failed_work(lines, request_id)
-    if work is not None and outcome not in NOT_BY_WORK:
+    work = find_last_failed_work(lines, request_id)
+    if work is not None and outcome not in OUTCOMES_NOT_CAUSED_BY_WORK:
         return describe_work(work, beliefs)
     return describe_end(end, outcome)
 
 
-def find_cause_without_end(lines: Sequence[LogLine]) -> str:
+def determine_cause_without_end(lines: Sequence[LogLine]) -> str:
     """Name the cause where no entry says how a request ended."""
     if any(line.event == "work-ended" for line in lines):
         return "its entry ended or was cut off before it had an answer"
@@ -154,17 +156,17 @@
     return "no daemon has a line of it"
 
 
-def find_failed_call(lines: Sequence[LogLine], request_id: str) -> LogLine | None:
+def find_first_failed_call(lines: Sequence[LogLine], request_id: str) -> LogLine | None:
     """Return the end of the first call for a request that was not served."""
     calls = [
         line
         for line in lines
-        if line.event == ENDS[0] and line.request_id.startswith(f"{request_id}.")
+        if line.event == END_EVENTS[0] and line.request_id.startswith(f"{request_id}.")
     ]
-    return next((call for call in calls if call.get("outcome") != SERVED), None)
+    return next((call for call in calls if call.get("outcome") != SERVED_OUTCOME), None)
 
 
-def find_failed_work(lines: Sequence[LogLine], request_id: str) -> LogLine | None:
+def find_last_failed_work(lines: Sequence[LogLine], request_id: str) -> LogLine | None:
     """Return the last work for a request that a backend server didn't do well."""
     ended = [
         line
@@ -190,7 +192,7 @@
     held = [
         belief.line.get("standing")
         for belief in beliefs
-        if belief.line.event == STANDING
+        if belief.line.event == STANDING_EVENT
         and belief.line.get("target") == target
         and belief.line.time < work.time
     ]
@@ -219,7 +221,7 @@
     return texts.get(outcome, f"ended as {outcome}")
 
 
-def count_missing(lines: Iterable[LogLine]) -> int:
+def count_dropped_lines(lines: Iterable[LogLine]) -> int:
     """Return how many lines the daemons say they dropped."""
     told = (line for line in lines if line.event == "lines-left-out")
     return sum(int(line.get("dropped") or 0) for line in told)
@@ -237,22 +239,22 @@
     causes: Counter[str] = Counter()
     for request_id, own in by_caller.items():
         ordered = sort_lines(own)
-        if find_end(ordered, request_id) is None:
+        if find_end_event(ordered, request_id) is None:
             continue
-        cause = find_cause(ordered, [], request_id)
+        cause = determine_cause(ordered, [], request_id)
         if cause != "served":
-            causes[leave_out_targets(cause, ordered)] += 1
+            causes[replace_target_names(cause, ordered)] += 1
     return causes
 
 
-def leave_out_targets(cause: str, lines: Iterable[LogLine]) -> str:
+def replace_target_names(cause: str, lines: Iterable[LogLine]) -> str:
     """Replace the names of targets in a cause by that of their service."""
     for target in {line.get("target") for line in lines} - {""}:
         cause = cause.replace(target, f"of {target.partition('/')[0]}")
     return cause.partition(", believed")[0]
 
 
-def format_story(story: Story) -> str:
+def format_explanation(story: RequestExplanation) -> str:
     """Write a story as text."""
     texts = [f"request {story.request_id}: {story.cause}"]
     start = story.lines[0].time if story.lines else None
--- a/src/wagtailstep/commands/fleet_beliefs.py
+++ b/src/wagtailstep/commands/fleet_beliefs.py
@@ -9,15 +9,21 @@
 from wagtailstep.models.log_lines import LogLine, format_line
 
 # Events that tell of a changed belief, in the log of the daemon that holds it.
-STANDING = "target-standing"
-PATH = "path-avoided"
-TABLE = "table-in-force"
-STORE = "log-reachability"
-MEMBER = "member-state"
-CHANGES = frozenset({STANDING, PATH, TABLE, STORE, MEMBER})
+STANDING_EVENT = "target-standing"
+PATH_EVENT = "path-avoided"
+TABLE_EVENT = "table-in-force"
+STORE_EVENT = "log-reachability"
+MEMBER_EVENT = "member-state"
+BELIEF_EVENTS = frozenset(
+    {STANDING_EVENT, PATH_EVENT, TABLE_EVENT, STORE_EVENT, MEMBER_EVENT}
+)
 # The field that names what a belief is about; others are about the daemon itself.
-SUBJECTS = {STANDING: "target", PATH: "target", MEMBER: "member"}
-LIFE = ("daemon-started", "daemon-draining", "daemon-stopped")
+SUBJECT_FIELDS = {
+    STANDING_EVENT: "target",
+    PATH_EVENT: "target",
+    MEMBER_EVENT: "member",
+}
+LIFECYCLE_EVENTS = ("daemon-started", "daemon-draining", "daemon-stopped")
 
 
 @attrs.frozen
@@ -38,7 +44,7 @@
     changes: Sequence[LogLine]
 
 
-def find_held_beliefs(lines: Sequence[LogLine], at: datetime) -> list[LogLine]:
+def find_beliefs_at(lines: Sequence[LogLine], at: datetime) -> list[LogLine]:
     """Return the events by which daemons came to hold what they believed at a moment.
 
     :param lines: lines of all daemons, those of one daemon in its order.
@@ -50,13 +56,13 @@
         if line.event == "daemon-started":
             # A new process knows nothing of what the one before believed.
             newest = {k: v for k, v in newest.items() if k[1] != line.process}
-        elif line.event in CHANGES:
-            subject = line.get(SUBJECTS.get(line.event, ""))
+        elif line.event in BELIEF_EVENTS:
+            subject = line.get(SUBJECT_FIELDS.get(line.event, ""))
             newest[line.event, line.process, subject] = line
     return list(newest.values())
 
 
-def find_fleet_beliefs(
+def compute_fleet_beliefs(
     lines: Sequence[LogLine], at: datetime, span: timedelta
 ) -> FleetBeliefs:
     """Return what was believed at a moment.
@@ -64,30 +70,34 @@
     :param lines: lines of all daemons, those of one daemon in its order.
     :param span: changes within this time before and after are told.
     """
-    held = find_held_beliefs(lines, at)
+    held = find_beliefs_at(lines, at)
     members = Counter(
         f"{line.get('member')} {line.get('state')}"
         for line in held
-        if line.event == MEMBER and line.get("state") != "alive"
+        if line.event == MEMBER_EVENT and line.get("state") != "alive"
     )
     return FleetBeliefs(
-        tables=Counter(line.get("version") for line in held if line.event == TABLE),
+        tables=Counter(
+            line.get("version") for line in held if line.event == TABLE_EVENT
+        ),
         standings={
             line.get("target"): line.get("standing")
             for line in held
-            if line.event == STANDING and line.get("standing") in ("doubted", "failing")
+            if line.event == STANDING_EVENT
+            and line.get("standing") in ("doubted", "failing")
         },
         members=members,
         without_store=sorted(
             line.process
             for line in held
-            if line.event == STORE and line.get("reachable") == "False"
+            if line.event == STORE_EVENT and line.get("reachable") == "False"
         ),
         changes=sorted(
             (
                 line
                 for line in lines
-                if line.event in CHANGES.union(LIFE) and abs(line.time - at) <= span
+                if line.event in BELIEF_EVENTS.union(LIFECYCLE_EVENTS)
+                and abs(line.time - at) <= span
             ),
             key=lambda line: line.time,
         ),
--- a/src/wagtailstep/commands/read_settings.py
+++ b/src/wagtailstep/commands/read_settings.py
@@ -28,7 +28,7 @@
 }
 
 
-def make_converter() -> cattrs.Converter:
+def create_converter() -> cattrs.Converter:
     """Return a converter that refuses unknown keys and converts no types."""
     converter = cattrs.Converter(forbid_extra_keys=True)
     for kind in _TYPE_NAMES:
@@ -84,7 +84,7 @@
     if not isinstance(raw, dict):
         raise SettingsError(f"{source}: must be a JSON object, not {raw!r}")
     try:
-        return make_converter().structure(drop_comments(raw), cls)
+        return create_converter().structure(drop_comments(raw), cls)
     except Exception as error:
         raise SettingsError(f"{source}: {'; '.join(explain(error))}") from error
 
--- a/src/wagtailstep/commands/reload_settings.py
+++ b/src/wagtailstep/commands/reload_settings.py
@@ -12,7 +12,7 @@
 
 LOGGER = logging.getLogger(__name__)
 # A file may change without a signal; reading it takes about a millisecond.
-CHECK_INTERVAL_S = 5.0
+FILE_CHECK_INTERVAL_S = 5.0
 
 
 class SettingsReloader:
@@ -22,46 +22,50 @@
     says; a file that is wrong changes nothing.
 
     :param settings: the settings that the daemon was started with.
-    :param read_again: reads the file.
+    :param reread_settings: reads the file.
     """
 
     def __init__(
-        self, settings: DaemonSettings, read_again: Callable[[], DaemonSettings]
+        self, settings: DaemonSettings, reread_settings: Callable[[], DaemonSettings]
     ) -> None:
-        self.started_with = settings
-        self.read_again = read_again
-        self.newest: DaemonSettings | str = settings
+        self.startup_settings = settings
+        self.reread_settings = reread_settings
+        self.newest_settings: DaemonSettings | str = settings
 
     def reload(self) -> None:
         """Read the file and log what it means, as a signal asks for."""
-        self.take(self.read())
+        self.apply(self.read_settings_or_error())
 
-    def check(self) -> None:
+    def reload_if_changed(self) -> None:
         """Read the file and take it if it is not as it was."""
-        newest = self.read()
-        if newest != self.newest:
-            self.take(newest)
+        newest_settings = self.read_settings_or_error()
+        if newest_settings != self.newest_settings:
+            self.apply(newest_settings)
 
     async def watch(self) -> None:
         """Check the file until cancelled."""
         while True:
-            await asyncio.sleep(CHECK_INTERVAL_S)
-            self.check()
+            await asyncio.sleep(FILE_CHECK_INTERVAL_S)
+            self.reload_if_changed()
 
-    def read(self) -> DaemonSettings | str:
+    def read_settings_or_error(self) -> DaemonSettings | str:
         """Return the settings in the file, or why there are none."""
         try:
-            return self.read_again()
+            return self.reread_settings()
         except SettingsError as error:
             return str(error)
 
-    def take(self, newest: DaemonSettings | str) -> None:
+    def apply(self, newest_settings: DaemonSettings | str) -> None:
         """Take settings, or log what is wrong with them."""
-        self.newest = newest
-        if isinstance(newest, str):
-            log_event(LOGGER, "settings-not-reloaded", logging.ERROR, error=newest)
+        self.newest_settings = newest_settings
+        if isinstance(newest_settings, str):
+            log_event(
+                LOGGER, "settings-not-reloaded", logging.ERROR, error=newest_settings
+            )
             return
-        logging.getLogger().setLevel(newest.log_level)
-        same_level = attrs.evolve(newest, log_level=self.started_with.log_level)
-        needs_restart = same_level != self.started_with
+        logging.getLogger().setLevel(newest_settings.log_level)
+        same_level = attrs.evolve(
+            newest_settings, log_level=self.startup_settings.log_level
+        )
+        needs_restart = same_level != self.startup_settings
         log_event(LOGGER, "settings-reloaded", needs_restart=needs_restart)
--- a/src/wagtailstep/commands/report_load.py
+++ b/src/wagtailstep/commands/report_load.py
@@ -12,7 +12,7 @@
 )
 
 ALL = "all"
-PERCENTS = (50.0, 99.0)
+PERCENTILES = (50.0, 99.0)
 HEADER = (
     f"{'side':<12} {'class':<16} {'asked':>7} {'in aim':>7} {'served':>7} "
     f"{'refused':>8} {'failed':>7} {'gave up':>8} {'p50 ms':>8} {'p99 ms':>8}"
@@ -33,7 +33,7 @@
 
 def format_row(side: str, name: str, result: ClassResult) -> str:
     """Write one row of the table."""
-    p50, p99 = (result.latency_ms(percent) for percent in PERCENTS)
+    p50, p99 = (result.latency_ms(percent) for percent in PERCENTILES)
     return (
         f"{side:<12} {name:<16} {result.asked:>7} {result.goodput:>7.3f} "
         f"{result.served:>7} {result.refused:>8} {result.failed:>7} "
--- a/src/wagtailstep/commands/run_daemon.py
+++ b/src/wagtailstep/commands/run_daemon.py
@@ -14,43 +14,43 @@
 
 LOGGER = logging.getLogger(__name__)
 
-MakeDaemon = Callable[[], Daemon]
+DaemonFactory = Callable[[], Daemon]
 
 
 def run_daemon(
     settings: DaemonSettings,
-    make_daemon: MakeDaemon,
-    read_again: Callable[[], DaemonSettings],
+    create_daemon: DaemonFactory,
+    reread_settings: Callable[[], DaemonSettings],
 ) -> bool:
     """Serve until SIGTERM or SIGINT, then shut down gracefully.
 
-    :param make_daemon: makes the daemon inside its event loop.
-    :param read_again: reads the settings again after SIGHUP.
+    :param create_daemon: makes the daemon inside its event loop.
+    :param reread_settings: reads the settings again after SIGHUP.
     :return: whether all requests in flight ended within the drain limit.
     :raises SettingsError: if an address can't be listened on.
     """
     configure_logging(settings.log_level)
     try:
-        return asyncio.run(serve_until_signal(settings, make_daemon, read_again))
+        return asyncio.run(serve_until_signal(settings, create_daemon, reread_settings))
     except* OSError as group:
-        raise describe_start_failure(group) from None
+        raise build_start_error(group) from None
 
 
 async def serve_until_signal(
     settings: DaemonSettings,
-    make_daemon: MakeDaemon,
-    read_again: Callable[[], DaemonSettings],
+    create_daemon: DaemonFactory,
+    reread_settings: Callable[[], DaemonSettings],
 ) -> bool:
     """Serve until a signal asks to stop."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    reloader = SettingsReloader(settings, read_again)
+    reloader = SettingsReloader(settings, reread_settings)
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
-    daemon = make_daemon()
+    daemon = create_daemon()
     await daemon.start()
-    exempt_startup_objects()
+    freeze_startup_objects()
     watching = asyncio.create_task(reloader.watch())
     await stop.wait()
     watching.cancel()
@@ -58,7 +58,7 @@
     return await daemon.shut_down()
 
 
-def exempt_startup_objects() -> None:
+def freeze_startup_objects() -> None:
     """Have the garbage collector run, and pass over what exists now.
 
     Modules and classes live as long as the process; looking through them again and
@@ -69,7 +69,7 @@
     gc.enable()
 
 
-def describe_start_failure(group: BaseExceptionGroup) -> WagtailstepError:
+def build_start_error(group: BaseExceptionGroup) -> WagtailstepError:
     """Turn failures to listen into one message."""
     reasons = "; ".join(sorted(str(error) for error in _flatten(group)))
     return SettingsError(f"an address of the settings can't be used: {reasons}")
--- a/src/wagtailstep/commands/table_cells.py
+++ b/src/wagtailstep/commands/table_cells.py
@@ -70,7 +70,7 @@
     return row_id
 
 
-def make_row(row_id: RowId, cells: dict[str, str], base: Row | None = None) -> Row:
+def build_row(row_id: RowId, cells: dict[str, str], base: Row | None = None) -> Row:
     """Make a row from texts by column names; an empty text is the default.
 
     :param base: gives the columns that ``cells`` does not name.
--- a/src/wagtailstep/commands/table_changes.py
+++ b/src/wagtailstep/commands/table_changes.py
@@ -19,7 +19,7 @@
     }
 
 
-def find_changes(before: Table, wanted: Mapping[RowId, Row]) -> TableChanges:
+def compute_changes(before: Table, wanted: Mapping[RowId, Row]) -> TableChanges:
     """Return the changes that turn a table into the wanted rows."""
     changes = TableChanges()
     old = table_rows(before)
--- a/src/wagtailstep/commands/table_client.py
+++ b/src/wagtailstep/commands/table_client.py
@@ -29,7 +29,7 @@
 from wagtailstep.utils.codec import encode_message
 from wagtailstep.utils.ids import make_id
 
-SETTLE_INTERVAL_S = 0.5
+OUTCOME_POLL_INTERVAL_S = 0.5
 
 
 @attrs.frozen
@@ -50,7 +50,7 @@
     :param log: the log service.
     :param clock: tells the time.
     :param rng: source of identifiers.
-    :param settle_time: how long a lost acknowledgment is inquired into.
+    :param outcome_timeout: how long a lost acknowledgment is inquired into.
     """
 
     def __init__(
@@ -58,12 +58,12 @@
         log: LogService,
         clock: Clock,
         rng: random.Random,
-        settle_time: timedelta = timedelta(seconds=10),
+        outcome_timeout: timedelta = timedelta(seconds=10),
     ) -> None:
         self.log = log
         self.clock = clock
         self.rng = rng
-        self.settle_time = settle_time
+        self.outcome_timeout = outcome_timeout
         self.reader: TableReader | None = None
 
     async def read(self, stop_version: int | None = None) -> TableReader:
@@ -77,18 +77,18 @@
         offset = await self.log.oldest_offset(TABLE_STREAM)
         if offset == 0:
             reader.start_empty()
-        await self._read_on(reader, offset, stop_version)
-        self._check_found(reader, stop_version)
+        await self._read_from(reader, offset, stop_version)
+        self._check_version_found(reader, stop_version)
         return reader
 
-    async def _read_on(
+    async def _read_from(
         self, reader: TableReader, offset: int, stop_version: int | None = None
     ) -> int:
         """Feed a reader from an offset on, and return where it stopped.
 
         :raises LogError: if the log can't be read, or not without a gap.
         """
-        while not _has_version(reader, stop_version):
+        while not _has_reached_version(reader, stop_version):
             try:
                 batch = await self.log.read(TABLE_STREAM, offset)
             except RecordExpiredError as error:
@@ -98,13 +98,15 @@
             if not batch.records:
                 break
             for record in batch.records:
-                if _has_version(reader, stop_version):
+                if _has_reached_version(reader, stop_version):
                     break
                 reader.read_log(record)
             offset = batch.next_offset
         return offset
 
-    def _check_found(self, reader: TableReader, stop_version: int | None) -> None:
+    def _check_version_found(
+        self, reader: TableReader, stop_version: int | None
+    ) -> None:
         if reader.fold is None or reader.pending:
             raise LogError(
                 "the log holds no usable snapshot of the table; if a daemon still "
@@ -125,8 +127,8 @@
         reader = self.reader or await self.read()
         self.reader = None
         if reader.fold is not None:
-            await self._read_on(reader, reader.position)
-        self._check_found(reader, None)
+            await self._read_from(reader, reader.position)
+        self._check_version_found(reader, None)
         assert reader.fold is not None
         self.reader = reader
         return reader.fold
@@ -141,7 +143,7 @@
         assert reader.fold is not None
         return reader.fold.table
 
-    def make_edit(
+    def build_edit(
         self, base_version: int, changes: TableChanges, proposal: Proposal
     ) -> TableEdit:
         """Return an edit with an identifier of its own."""
@@ -168,7 +170,7 @@
         :raises TableError: if it was refused for another reason.
         """
         data = encode_message(edit)
-        give_up_at = self.clock.monotonic() + self.settle_time
+        give_up_at = self.clock.monotonic() + self.outcome_timeout
         may_be_appended = False
         while True:
             try:
@@ -187,7 +189,7 @@
                     f"edit {edit.edit_id} may have been accepted, now or later; ask "
                     f"again with: wagtailstep-table outcome {edit.edit_id}"
                 )
-            await asyncio.sleep(SETTLE_INTERVAL_S)
+            await asyncio.sleep(OUTCOME_POLL_INTERVAL_S)
 
     async def _find_outcome(self, edit_id: str) -> EditOutcome | None:
         try:
@@ -197,7 +199,7 @@
         return fold.outcome_of(edit_id)
 
 
-def _has_version(reader: TableReader, version: int | None) -> bool:
+def _has_reached_version(reader: TableReader, version: int | None) -> bool:
     if version is None or reader.fold is None:
         return False
     return reader.fold.version >= version
--- a/src/wagtailstep/commands/table_csv.py
+++ b/src/wagtailstep/commands/table_csv.py
@@ -7,8 +7,8 @@
 
 from wagtailstep.commands.table_cells import (
     CellError,
+    build_row,
     format_row,
-    make_row,
     parse_kind,
 )
 from wagtailstep.models.table import Row, RowKind, Table
@@ -71,7 +71,7 @@
         versions.add(cells.pop(VERSION_COLUMN, ""))
         if row_id in rows:
             raise CellError(f"line {reader.line_num}: row {row_id} stands twice")
-        rows[row_id] = make_row(row_id, _drop_empty(row_id, cells))
+        rows[row_id] = build_row(row_id, _drop_empty(row_id, cells))
     return TableFile(_parse_version(versions - {""}), rows)
 
 
--- a/src/wagtailstep/commands/table_edit.py
+++ b/src/wagtailstep/commands/table_edit.py
@@ -2,13 +2,13 @@
 
 from collections.abc import Iterator
 
-from wagtailstep.commands.table_cells import CellError, make_row, parse_row_id
+from wagtailstep.commands.table_cells import CellError, build_row, parse_row_id
 from wagtailstep.commands.table_changes import (
+    compute_changes,
     copy_fold,
     count_changes,
     describe_changes,
     describe_effect,
-    find_changes,
     table_rows,
 )
 from wagtailstep.commands.table_client import Proposal, TableClient, check_outcome
@@ -40,7 +40,7 @@
             f"row {row_id}: give either --remove or columns to set, allowed is {names}"
         )
     rows = fold.table.rows(row_id.kind)
-    row = None if remove else make_row(row_id, cells, rows.get(key))
+    row = None if remove else build_row(row_id, cells, rows.get(key))
     changes = TableChanges()
     changes.rows(row_id.kind)[key] = row
     return changes
@@ -63,7 +63,7 @@
     base = fold.table
     if file.base_version != fold.version:
         base = await client.read_table(file.base_version)
-    changes = find_changes(base, file.rows)
+    changes = compute_changes(base, file.rows)
     _check_removals(changes, remove)
     return file.base_version, changes
 
@@ -73,7 +73,7 @@
 
     :raises SettingsError: if the file lacks rows, without ``remove``.
     """
-    changes = find_changes(fold.table, file.rows)
+    changes = compute_changes(fold.table, file.rows)
     _check_removals(changes, remove)
     return changes
 
@@ -95,7 +95,7 @@
     :raises TableError: if the log no longer knows that version.
     """
     wanted = await client.read_table(version)
-    return find_changes(fold.table, table_rows(wanted))
+    return compute_changes(fold.table, table_rows(wanted))
 
 
 def check_size(edit: TableEdit) -> None:
@@ -175,7 +175,7 @@
     """
     if not len(changes):
         return iter([f"unchanged version={fold.version}"])
-    edit = client.make_edit(base_version, changes, proposal)
+    edit = client.build_edit(base_version, changes, proposal)
     check_size(edit)
     lines = list(check_edit(fold, edit))
     if dry_run:
--- a/src/wagtailstep/commands/table_restore.py
+++ b/src/wagtailstep/commands/table_restore.py
@@ -13,10 +13,10 @@
 from wagtailstep.utils.codec import encode_message
 from wagtailstep.utils.ids import make_id
 
-READ_LIMIT = 1_000
+READ_BATCH_RECORDS = 1_000
 
 
-def check_lost(reports: list[DaemonReport]) -> None:
+def check_no_daemon_has_table(reports: list[DaemonReport]) -> None:
     """Refuse to restore while a daemon has the table or does not answer.
 
     :raises TableError: if so.
@@ -51,17 +51,17 @@
             f"--version={version} is not allowed, allowed is a version above any "
             f"that was in force, so at least {file.base_version + 1}"
         )
-    next_offset = await _check_lost(client)
-    fold = _make_fold(client, file, version, next_offset, proposal)
+    next_offset = await _check_log_lost_table(client)
+    fold = _build_fold(client, file, version, next_offset, proposal)
     parts = split_snapshot(make_id(client.rng), fold, client.clock.utc())
     for part in parts:
         await client.log.append(TABLE_STREAM, encode_message(part))
     return len(parts)
 
 
-async def _check_lost(client: TableClient) -> int:
+async def _check_log_lost_table(client: TableClient) -> int:
     """Return the offset of the next record, if the log has no table any more."""
-    next_offset = await find_end(client.log)
+    next_offset = await find_end_offset(client.log)
     try:
         fold = await client.read_fold()
     except LogError:
@@ -74,20 +74,20 @@
     )
 
 
-async def find_end(log: LogService) -> int:
+async def find_end_offset(log: LogService) -> int:
     """Return the offset that the next record of the table's stream will have.
 
     :raises LogError: if the log can't be read.
     """
     offset = await log.oldest_offset(TABLE_STREAM)
     while True:
-        batch = await log.read(TABLE_STREAM, offset, READ_LIMIT)
+        batch = await log.read(TABLE_STREAM, offset, READ_BATCH_RECORDS)
         if not batch.records:
             return offset
         offset = batch.next_offset
 
 
-def _make_fold(
+def _build_fold(
     client: TableClient,
     file: TableFile,
     version: int,
--- a/src/wagtailstep/commands/table_status.py
+++ b/src/wagtailstep/commands/table_status.py
@@ -13,7 +13,7 @@
 from wagtailstep.models.table_fold import TableFold
 from wagtailstep.utils.logging import format_fields
 
-MAX_AT_ONCE = 32
+MAX_CONCURRENT_QUERIES = 32
 
 
 class StatusClient(Protocol):
@@ -40,11 +40,11 @@
     problem: str = ""
 
 
-async def ask_daemons(
+async def query_daemons(
     client: StatusClient, addresses: tuple[str, ...]
 ) -> list[DaemonReport]:
     """Ask daemons for their status, a bounded number of them at once."""
-    turns = asyncio.Semaphore(MAX_AT_ONCE)
+    turns = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
 
     async def ask(address: str) -> DaemonReport:
         async with turns:
--- a/src/wagtailstep/commands/table_watch.py
+++ b/src/wagtailstep/commands/table_watch.py
@@ -8,8 +8,8 @@
 from wagtailstep.commands.table_show import show_history
 from wagtailstep.commands.table_status import (
     StatusClient,
-    ask_daemons,
     describe_reports,
+    query_daemons,
 )
 from wagtailstep.exceptions import LogError
 from wagtailstep.models.table_fold import TableFold
@@ -33,19 +33,19 @@
     last_version: int | None = None
     last_summary = ""
     while client.clock.monotonic() < end:
-        fold = await read_or_none(client)
+        fold = await read_fold_or_none(client)
         if fold is not None:
             for line in list_new_edits(fold, last_version):
                 show(line)
             last_version = fold.version
-        *_, summary = describe_reports(fold, await ask_daemons(daemons, addresses))
+        *_, summary = describe_reports(fold, await query_daemons(daemons, addresses))
         if summary != last_summary:
             show(summary)
         last_summary = summary
         await asyncio.sleep(interval.total_seconds())
 
 
-async def read_or_none(client: TableClient) -> TableFold | None:
+async def read_fold_or_none(client: TableClient) -> TableFold | None:
     """Return the newest fold, or ``None`` if the log can't be read."""
     try:
         return await client.read_fold()
--- a/src/wagtailstep/fakes/announcer.py
+++ b/src/wagtailstep/fakes/announcer.py
@@ -53,13 +53,13 @@
     async def run(self) -> None:
         """Announce again and again until cancelled; a failure is tried again."""
         while True:
-            await self.send("PUT", self.path)
+            await self.send_announcement("PUT", self.path)
             await asyncio.sleep(ANNOUNCE_INTERVAL_MS / 1000)
 
-    async def leave(self) -> None:
+    async def withdraw(self) -> None:
         """Say that the backend server takes no new work."""
         path = f"{self.path}?address={quote(self.announcement.address)}"
-        await self.send("DELETE", path)
+        await self.send_announcement("DELETE", path)
         self.client.close()
 
     async def send(self, method: str, path: str) -> bool:
--- a/src/wagtailstep/fakes/backend_server.py
+++ b/src/wagtailstep/fakes/backend_server.py
@@ -24,7 +24,7 @@
 
 from wagtailstep.exceptions import SettingsError
 from wagtailstep.fakes.announcer import Announcement, Announcer
-from wagtailstep.fakes.faults import Faults, draw, read_faults
+from wagtailstep.fakes.faults import Faults, draw_bool, read_faults
 from wagtailstep.fakes.work import Work, WorkCounts, read_work
 from wagtailstep.models.settings import (
     check_address,
@@ -77,27 +77,27 @@
         self.faults = Faults()
         self.counts = WorkCounts()
         self.slots = asyncio.Semaphore(settings.slots)
-        self.inside = 0
+        self.requests_in_progress = 0
         self.started_at = timedelta()
-        self.leaving_at: timedelta | None = None
-        self.left = asyncio.Event()
+        self.drain_started_at: timedelta | None = None
+        self.drained = asyncio.Event()
         self.address = ""
         self.announcer: Announcer | None = None
-        self.announcing: asyncio.Task[None] | None = None
-        self.silenced: list[object] = []
-        self.application = self.make_application()
+        self.announce_task: asyncio.Task[None] | None = None
+        self.silenced_connections: list[object] = []
+        self.application = self.create_application()
         self.server = HttpServer(self.application, lambda: None)
 
-    def make_application(self) -> Application:
+    def create_application(self) -> Application:
         """Return the BlackSheep application."""
         router = Router()
-        router.add_get("/health", make_handler(self.answer_health))
-        router.add_get("/load", make_handler(self.answer_load))
-        router.add_get("/counts", make_handler(self.answer_counts))
-        router.add_put("/faults", make_handler(self.set_faults))
-        router.add_post("/silence", make_handler(self.silence_connections))
-        router.add_post("/drain", make_handler(self.start_leaving))
-        router.fallback = make_handler(self.do_work)
+        router.add_get("/health", wrap_handler(self.handle_health))
+        router.add_get("/load", wrap_handler(self.handle_load))
+        router.add_get("/counts", wrap_handler(self.handle_counts))
+        router.add_put("/faults", wrap_handler(self.handle_set_faults))
+        router.add_post("/silence", wrap_handler(self.handle_silence))
+        router.add_post("/drain", wrap_handler(self.handle_drain))
+        router.fallback = wrap_handler(self.handle_work)
         return Application(router=router)
 
     async def start(self) -> str:
@@ -114,43 +114,43 @@
                 self.settings.service,
                 Announcement(self.address, self.settings.slots),
             )
-            self.announcing = asyncio.create_task(self.announcer.run())
+            self.announce_task = asyncio.create_task(self.announcer.run())
         return self.address
 
-    async def leave(self) -> None:
+    async def drain(self) -> None:
         """Tell the daemon, finish what is running, and stop listening.
 
         The listener stays open meanwhile: work that was accepted for this backend
         server may still arrive.
         """
-        if self.leaving_at is not None:
+        if self.drain_started_at is not None:
             return
-        self.leaving_at = self.clock.monotonic()
-        if self.announcing is not None:
-            self.announcing.cancel()
-            await self.announcer.leave()
+        self.drain_started_at = self.clock.monotonic()
+        if self.announce_task is not None:
+            self.announce_task.cancel()
+            await self.announcer.withdraw()
         await self.server.drain(timedelta(seconds=self.settings.drain_limit_s))
-        self.left.set()
+        self.drained.set()
 
     async def stop(self) -> None:
         """Stop at once, whatever is running."""
-        if self.announcing is not None:
-            self.announcing.cancel()
+        if self.announce_task is not None:
+            self.announce_task.cancel()
         await self.server.close()
 
-    async def answer_health(self, request: Request) -> Response:
+    async def handle_health(self, request: Request) -> Response:
         """Answer that all is well, whatever the faults."""
         return answer_json({"status": "ok"})
 
-    async def answer_load(self, request: Request) -> Response:
+    async def handle_load(self, request: Request) -> Response:
         """Answer with a load that is always low."""
         return answer_json({"running": 0, "slots": self.settings.slots})
 
-    async def answer_counts(self, request: Request) -> Response:
+    async def handle_counts(self, request: Request) -> Response:
         """Answer with what was counted."""
         return answer_json(self.counts)
 
-    async def set_faults(self, request: Request) -> Response:
+    async def handle_set_faults(self, request: Request) -> Response:
         """Take other faults."""
         data = await request.read() or b"{}"
         try:
@@ -159,13 +159,13 @@
             return answer_json({"error": str(error)}, 400)
         return answer_json(self.faults)
 
-    async def silence_connections(self, request: Request) -> Response:
+    async def handle_silence(self, request: Request) -> Response:
         """Read nothing more from the connections that are open, bar this one."""
         own = request.scope["wagtailstep.connection"]
-        self.go_silent(own)
-        return answer_json({"silenced": len(self.silenced)})
+        self.silence_open_connections(own)
+        return answer_json({"silenced": len(self.silenced_connections)})
 
-    def go_silent(self, spared: object = None) -> None:
+    def silence_open_connections(self, spared: object = None) -> None:
         """Stop reading from all open connections, for good.
 
         :param spared: a connection that goes on working.
@@ -173,53 +173,64 @@
         for connection in self.server.state.connections:
             if connection is not spared:
                 connection.transport.pause_reading()
-                self.silenced.append(connection)
+                self.silenced_connections.append(connection)
 
-    async def start_leaving(self, request: Request) -> Response:
+    async def handle_drain(self, request: Request) -> Response:
         """Leave in the background."""
-        self.leaving = asyncio.create_task(self.leave())
+        self.drain_task = asyncio.create_task(self.drain())
         return answer_json({"leaving": True})
 
-    async def do_work(self, request: Request) -> Response:
+    async def handle_work(self, request: Request) -> Response:
         """Run one real request, or shed it if too many wait."""
-        self.count_late_work()
-        if self.inside >= self.settings.slots + self.settings.queue_length:
+        self.record_late_work()
+        if (
+            self.requests_in_progress
+            >= self.settings.slots + self.settings.queue_length
+        ):
             self.counts.shed += 1
             return Response(503, [(b"retry-after", b"1")])
-        self.inside += 1
-        self.counts.most_inside = max(self.counts.most_inside, self.inside)
+        self.requests_in_progress += 1
+        self.counts.most_inside = max(
+            self.counts.most_inside, self.requests_in_progress
+        )
         try:
             work = await read_work(request, self.settings.work_ms)
             async with self.slots:
-                return await self.run(work, request)
+                return await self.run_work(work, request)
         except asyncio.CancelledError:
             self.counts.cancelled += 1
             raise
         finally:
-            self.inside -= 1
+            self.requests_in_progress -= 1
 
-    async def run(self, work: Work, request: Request) -> Response:
+    async def run_work(self, work: Work, request: Request) -> Response:
         """Spend the time of a request, count it, and answer with its faults."""
-        faults = self.faults.active(self.clock.monotonic() / timedelta(milliseconds=1))
+        faults = self.faults.active_at(
+            self.clock.monotonic() / timedelta(milliseconds=1)
+        )
         self.counts.started[work.key] += 1
-        if faults.fails(work.route, self.rng):
+        if faults.should_fail(work.route, self.rng):
             self.counts.failed += 1
             return Response(500)
         await asyncio.sleep(self.work_time_s(work, faults))
         self.counts.runs[work.key] += 1
         connection = request.scope["wagtailstep.connection"]
-        if draw(self.rng, faults.hang_share):
+        if draw_bool(self.rng, faults.hang_share):
             await asyncio.Event().wait()
-        if draw(self.rng, faults.lose_share):
+        if draw_bool(self.rng, faults.lose_share):
             connection.break_connection()
-        cut = draw(self.rng, faults.truncate_share)
-        return work.answer(self.address, connection.transport.close if cut else None)
+        truncated = draw_bool(self.rng, faults.truncate_share)
+        return work.build_response(
+            self.address, connection.transport.close if truncated else None
+        )
 
-    def count_late_work(self) -> None:
+    def record_late_work(self) -> None:
         """Note how long after leaving new work still came."""
-        if self.leaving_at is None:
+        if self.drain_started_at is None:
             return
-        late = (self.clock.monotonic() - self.leaving_at) / timedelta(milliseconds=1)
+        late = (self.clock.monotonic() - self.drain_started_at) / timedelta(
+            milliseconds=1
+        )
         self.counts.late_work_ms = max(self.counts.late_work_ms, late)
 
     def work_time_s(self, work: Work, faults: Faults) -> float:
@@ -232,7 +243,7 @@
         return work.work_ms * factor / 1000
 
 
-def make_handler(
+def wrap_handler(
     method: Callable[[Request], Awaitable[Response]],
 ) -> Callable[[Request], Awaitable[Response]]:
     """Return a function for a method, since BlackSheep sets attributes on it."""
@@ -269,6 +280,6 @@
     server = BackendServer(settings)
     await server.start()
     await stop.wait()
-    await server.leave()
-    await server.left.wait()
+    await server.drain()
+    await server.drained.wait()
     await server.stop()
--- a/src/wagtailstep/fakes/control_bus.py
+++ b/src/wagtailstep/fakes/control_bus.py
@@ -31,8 +31,8 @@
 from wagtailstep.utils.clock import ManualClock
 from wagtailstep.utils.codec import encode_message
 
-TICK_MS = 100
-ANNOUNCE_MS = 1_000
+TICK_INTERVAL_MS = 100
+ANNOUNCE_INTERVAL_MS = 1_000
 
 
 @attrs.define
@@ -41,7 +41,7 @@
 
     :param blackboard: what the daemon knows.
     :param controllers: in the order in which they take events.
-    :param announced: targets whose backend servers renew themselves.
+    :param announced_targets: targets whose backend servers renew themselves.
     :param events: recorded events, oldest first.
     :param running: whether it takes events at all.
     :param follows_log: whether it reads the stream of members.
@@ -50,7 +50,7 @@
 
     blackboard: Blackboard
     controllers: Sequence[Controller]
-    announced: dict[str, Target] = attrs.field(factory=dict)
+    announced_targets: dict[str, Target] = attrs.field(factory=dict)
     events: list[RecordEvent] = attrs.field(factory=list)
     running: bool = True
     follows_log: bool = False
@@ -94,14 +94,14 @@
         self.queue: list[tuple[timedelta, int, BusNode, Any]] = []
         self.sequence = 0
         self.log: list[LogRecord] = []
-        self.log_away = False
+        self.log_unavailable = False
 
     def add(
         self,
         daemon_id: str,
         membership: MembershipSettings,
         services: Sequence[str] = (),
-        wanted: Sequence[str] = (),
+        requested_services: Sequence[str] = (),
         incarnation: int = 0,
         zone: str = "bole",
         clock_skew: timedelta = timedelta(),
@@ -129,26 +129,37 @@
             announce_address="127.0.0.1:7004",
             membership=membership,
         )
-        node = self._build(settings, Blackboard(member), wanted)
+        node = self._create_node(settings, Blackboard(member), requested_services)
         for service in services:
             for port in range(8_000, 8_000 + targets_per_service):
                 target_id = f"{service}/{daemon_id}.test:{port}"
-                node.announced[target_id] = Target(target_id, service, daemon_id, zone)
+                node.announced_targets[target_id] = Target(
+                    target_id, service, daemon_id, zone
+                )
         self.nodes[daemon_id] = self.addresses[address] = node
         # Daemons don't tick in step.
-        phase = timedelta(milliseconds=self.rng.uniform(0, TICK_MS))
+        phase = timedelta(milliseconds=self.rng.uniform(0, TICK_INTERVAL_MS))
         self._schedule(phase, node, Tick())
         self._schedule(timedelta(), node, None)
         return node
 
-    def _build(
-        self, settings: DaemonSettings, board: Blackboard, wanted: Sequence[str]
+    def _create_node(
+        self,
+        settings: DaemonSettings,
+        board: Blackboard,
+        requested_services: Sequence[str],
     ) -> BusNode:
-        board.wanted_services.update(wanted)
+        board.wanted_services.update(requested_services)
         rng = random.Random(self.rng.random())
         arguments = (settings, board, self.clock, rng)
-        kinds = (MembershipController, DisseminationController, AnnouncementController)
-        return BusNode(board, [kind(*arguments) for kind in kinds])
+        controller_types = (
+            MembershipController,
+            DisseminationController,
+            AnnouncementController,
+        )
+        return BusNode(
+            board, [controller_type(*arguments) for controller_type in controller_types]
+        )
 
     def stop(self, daemon_id: str) -> None:
         """End a daemon without a word."""
@@ -158,8 +169,8 @@
         """Let time pass."""
         end = self.clock.monotonic() + duration
         while self.queue and self.queue[0][0] <= end:
-            at, _, node, event = heapq.heappop(self.queue)
-            self.clock.advance(max(at - self.clock.monotonic(), timedelta()))
+            due_at, _, node, event = heapq.heappop(self.queue)
+            self.clock.advance(max(due_at - self.clock.monotonic(), timedelta()))
             if node.running:
                 self._process(node, event)
         self.clock.advance(end - self.clock.monotonic())
@@ -171,22 +182,22 @@
 
     def _process(self, node: BusNode, event: Any) -> None:
         if event is None:
-            self._renew(node)
+            self._renew_announcements(node)
             return
         if isinstance(event, Tick):
-            self._schedule(timedelta(milliseconds=TICK_MS), node, event)
+            self._schedule(timedelta(milliseconds=TICK_INTERVAL_MS), node, event)
             self._read_log(node)
         self.dispatch(node, event)
 
-    def _renew(self, node: BusNode) -> None:
-        for target in node.announced.values():
+    def _renew_announcements(self, node: BusNode) -> None:
+        for target in node.announced_targets.values():
             self.dispatch(node, TargetAnnounced(target))
-        self._schedule(timedelta(milliseconds=ANNOUNCE_MS), node, None)
+        self._schedule(timedelta(milliseconds=ANNOUNCE_INTERVAL_MS), node, None)
 
     def _schedule(self, delay: timedelta, node: BusNode, event: Any) -> None:
         self.sequence += 1
-        at = self.clock.monotonic() + delay
-        heapq.heappush(self.queue, (at, self.sequence, node, event))
+        due_at = self.clock.monotonic() + delay
+        heapq.heappush(self.queue, (due_at, self.sequence, node, event))
 
     def _apply(self, node: BusNode, effect: Any) -> None:
         if isinstance(effect, SendToPeer):
@@ -209,14 +220,14 @@
 
     def _append(self, node: BusNode, effect: AppendToLog) -> None:
         offset = None
-        if not self.log_away:
+        if not self.log_unavailable:
             offset = len(self.log)
             self.log.append(LogRecord(offset, encode_message(effect.record)))
-        settled = LogAppendSettled(effect.append_id, offset, may_have_applied=False)
-        self._schedule(timedelta(milliseconds=1), node, settled)
+        result = LogAppendSettled(effect.append_id, offset, may_have_applied=False)
+        self._schedule(timedelta(milliseconds=1), node, result)
 
     def _read_log(self, node: BusNode) -> None:
-        if self.log_away or not node.follows_log:
+        if self.log_unavailable or not node.follows_log:
             return
         records = tuple(self.log[node.log_offset :])
         if records:
--- a/src/wagtailstep/fakes/faults.py
+++ b/src/wagtailstep/fakes/faults.py
@@ -30,20 +30,20 @@
     lose_share: float = 0.0
     hang_share: float = 0.0
 
-    def active(self, now_ms: float) -> "Faults":
+    def active_at(self, now_ms: float) -> "Faults":
         """Return the faults in effect at a moment, with flapping applied."""
         if self.flap_ms and int(now_ms / self.flap_ms) % 2 == 0:
             return Faults()
         return self
 
-    def fails(self, route: str, rng: random.Random) -> bool:
+    def should_fail(self, route: str, rng: random.Random) -> bool:
         """Tell whether a request of a route ends with status 500."""
         if self.fail_route and route == self.fail_route:
             return True
-        return draw(rng, self.fail_share)
+        return draw_bool(rng, self.fail_share)
 
 
-def draw(rng: random.Random, share: float) -> bool:
+def draw_bool(rng: random.Random, share: float) -> bool:
     """Return true for a share of all calls."""
     return share > 0 and rng.random() < share
 
--- a/src/wagtailstep/fakes/log_server.py
+++ b/src/wagtailstep/fakes/log_server.py
@@ -26,7 +26,7 @@
 )
 from wagtailstep.utils.clock import LoopClock
 
-UNANSWERED_S = 20.0
+UNANSWERED_HOLD_S = 20.0
 
 
 def _json(status: int, body: Any) -> Response:
@@ -41,14 +41,14 @@
     except LogUnavailableError:
         return _json(503, None)
     except AppendUnknownError:
-        await _hold_answer()
+        await _withhold_response()
         return _json(504, None)
 
 
-async def _hold_answer() -> None:
+async def _withhold_response() -> None:
     # The server cancels what is still held back when it ends; that is no fault.
     with contextlib.suppress(asyncio.CancelledError):
-        await asyncio.sleep(UNANSWERED_S)
+        await asyncio.sleep(UNANSWERED_HOLD_S)
 
 
 async def _read(log: InMemoryLogService, request: Request, stream: str) -> Response:
@@ -57,7 +57,7 @@
     try:
         batch = await log.read(stream, offset, limit)
     except LogUnavailableError:
-        return await _refuse_read(log)
+        return await _handle_unavailable_read(log)
     except RecordExpiredError as error:
         return _json(410, StreamReply(error.oldest))
     records = tuple(RecordReply(item.offset, item.data) for item in batch.records)
@@ -68,12 +68,12 @@
     try:
         return _json(200, StreamReply(await log.oldest_offset(stream)))
     except LogUnavailableError:
-        return await _refuse_read(log)
+        return await _handle_unavailable_read(log)
 
 
-async def _refuse_read(log: InMemoryLogService) -> Response:
+async def _handle_unavailable_read(log: InMemoryLogService) -> Response:
     if log.faults.silent:
-        await _hold_answer()
+        await _withhold_response()
     return _json(503, None)
 
 
@@ -87,7 +87,7 @@
     return _json(200, log.faults)
 
 
-def make_application(log: InMemoryLogService) -> Application:
+def create_application(log: InMemoryLogService) -> Application:
     """Return the HTTP application around a log service in memory."""
     # Without a router of its own an application shares one with all others.
     app = Application(router=Router())
@@ -133,14 +133,14 @@
     """
     log = InMemoryLogService(LoopClock(), faults)
     config = uvicorn.Config(
-        make_application(log),
+        create_application(log),
         host=host,
         port=port,
         log_level="critical",
         timeout_graceful_shutdown=1,
     )
     server = uvicorn.Server(config)
-    watcher = asyncio.create_task(_watch(server, on_started, stop, run_time))
+    watcher = asyncio.create_task(_stop_when_due(server, on_started, stop, run_time))
     try:
         await server.serve()
     except SystemExit as error:
@@ -149,7 +149,7 @@
         watcher.cancel()
 
 
-async def _watch(
+async def _stop_when_due(
     server: uvicorn.Server,
     on_started: Callable[[int], None] | None,
     stop: asyncio.Event | None,
--- a/src/wagtailstep/fakes/log_service.py
+++ b/src/wagtailstep/fakes/log_service.py
@@ -67,21 +67,21 @@
         return self.next_offset
 
 
-def take_records(stream: Stream, first: int, limit: int) -> tuple[LogRecord, ...]:
+def slice_records(stream: Stream, first: int, limit: int) -> tuple[LogRecord, ...]:
     """Return some records of a stream, at least one if there is any.
 
     :param first: index of the first one.
     :param limit: most records.
     """
-    taken: list[LogRecord] = []
+    records: list[LogRecord] = []
     size = 0
     for index in range(first, min(first + limit, len(stream.records))):
         record = stream.records[index].record
         size += len(record.data)
-        if taken and size > MAX_READ_BYTES:
+        if records and size > MAX_READ_BYTES:
             break
-        taken.append(record)
-    return tuple(taken)
+        records.append(record)
+    return tuple(records)
 
 
 class InMemoryLogService(LogService):
@@ -101,12 +101,12 @@
 
     async def append(self, stream: str, data: bytes) -> int:
         """Append one record; see :meth:`LogService.append`."""
-        await self.delay()
-        self.check_away()
-        self.check_rate()
+        await self.simulate_delay()
+        self.check_available()
+        self.check_append_rate()
         if self.faults.silent:
             raise AppendUnknownError("the append was not acknowledged")
-        offset = self.store(stream, data)
+        offset = self.store_record(stream, data)
         if self.faults.lost_acknowledgments > 0:
             self.faults.lost_acknowledgments -= 1
             raise AppendUnknownError("the acknowledgment of the append was lost")
@@ -114,28 +114,28 @@
 
     async def read(self, stream: str, offset: int, limit: int = 1000) -> LogBatch:
         """Read records; see :meth:`LogService.read`."""
-        await self.delay()
-        self.check_away(reading=True)
+        await self.simulate_delay()
+        self.check_available(reading=True)
         self.read_count += 1
-        found = self.expire(stream)
+        found = self.drop_expired_records(stream)
         oldest = found.oldest_offset
         if offset < oldest:
             raise RecordExpiredError(oldest)
-        records = take_records(found, offset - oldest, limit)
+        records = slice_records(found, offset - oldest, limit)
         return LogBatch(records, offset + len(records), oldest)
 
     async def oldest_offset(self, stream: str) -> int:
         """Return the oldest offset; see :meth:`LogService.oldest_offset`."""
-        await self.delay()
-        self.check_away(reading=True)
-        return self.expire(stream).oldest_offset
+        await self.simulate_delay()
+        self.check_available(reading=True)
+        return self.drop_expired_records(stream).oldest_offset
 
-    async def delay(self) -> None:
+    async def simulate_delay(self) -> None:
         """Wait as long as the faults say."""
         if self.faults.delay_ms:
             await asyncio.sleep(self.faults.delay_ms / 1000)
 
-    def check_away(self, reading: bool = False) -> None:
+    def check_available(self, reading: bool = False) -> None:
         """Refuse a call while the service is away.
 
         :raises LogUnavailableError: if it is away.
@@ -143,7 +143,7 @@
         if self.faults.away or (reading and self.faults.silent):
             raise LogUnavailableError("the log service is away")
 
-    def check_rate(self) -> None:
+    def check_append_rate(self) -> None:
         """Refuse an append beyond the allowed rate.
 
         :raises LogUnavailableError: if there were too many in the last second.
@@ -158,17 +158,17 @@
             raise LogUnavailableError(f"more than {limit} appends in a second")
         recent.append(now)
 
-    def store(self, name: str, data: bytes) -> int:
+    def store_record(self, name: str, data: bytes) -> int:
         """Add a record to a stream and return its offset."""
         stream = self.streams[name]
         record = LogRecord(stream.next_offset, data)
         stream.records.append(StoredRecord(record, self.clock.monotonic()))
         stream.next_offset += 1
         self.append_count += 1
-        self.expire(name)
+        self.drop_expired_records(name)
         return record.offset
 
-    def expire(self, name: str) -> Stream:
+    def drop_expired_records(self, name: str) -> Stream:
         """Drop what is no longer retained and return the stream."""
         stream = self.streams[name]
         faults = self.faults
--- a/src/wagtailstep/fakes/work.py
+++ b/src/wagtailstep/fakes/work.py
@@ -54,11 +54,13 @@
     body_bytes: int
     body_digest: str
 
-    def answer(self, address: str, cut: Callable[[], None] | None) -> Response:
+    def build_response(
+        self, address: str, abort_connection: Callable[[], None] | None
+    ) -> Response:
         """Return the answer.
 
         :param address: address of the stand-in, told to the caller.
-        :param cut: breaks the connection in the middle of the answer, or ``None``.
+        :param abort_connection: breaks the connection in the middle of the answer, or ``None``.
         """
         headers = [
             (KEY, self.key.encode()),
@@ -67,13 +69,13 @@
             (b"fake-body-digest", self.body_digest.encode()),
         ]
         text = f"{self.key}\n".encode()
-        if cut is None and self.answer_bytes == 0:
+        if abort_connection is None and self.answer_bytes == 0:
             return Response(200, headers, Content(b"text/plain", text))
 
         async def stream() -> AsyncIterator[bytes]:
             yield text
-            if cut is not None:
-                cut()
+            if abort_connection is not None:
+                abort_connection()
                 return
             left = self.answer_bytes
             while left > 0:
@@ -82,7 +84,7 @@
                 left -= size
 
         length = len(text) + max(1, self.answer_bytes)
-        if cut is None:
+        if abort_connection is None:
             length = len(text) + self.answer_bytes
         return Response(200, headers, StreamedContent(b"text/plain", stream, length))
 
--- a/src/wagtailstep/platform/configuration.py
+++ b/src/wagtailstep/platform/configuration.py
@@ -18,9 +18,9 @@
 from wagtailstep.models.table import Table
 
 CONFIG_KEY = "config"
-VERSION = re.compile(r"r([0-9]+)")
-TIME = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)")
-UNITS = {"ms": timedelta(milliseconds=1), "s": timedelta(seconds=1)}
+VERSION_PATTERN = re.compile(r"r([0-9]+)")
+DURATION_PATTERN = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)")
+DURATION_UNITS = {"ms": timedelta(milliseconds=1), "s": timedelta(seconds=1)}
 
 
 class Columns(msgspec.Struct):
@@ -29,7 +29,7 @@
     columns: list[str]
     rows: list[list[Any]]
 
-    def objects(self) -> list[dict[str, Any]]:
+    def to_dicts(self) -> list[dict[str, Any]]:
         """Return the objects; fields without a value are left out."""
         return [
             {
@@ -92,18 +92,18 @@
     data = records.values.get(CONFIG_KEY)
     if not data:
         return None
-    return TableDocument(read_version(decode_configuration(data).version), data)
+    return TableDocument(parse_version(decode_configuration(data).version), data)
 
 
-def read_document(document: TableDocument) -> Table:
+def build_table(document: TableDocument) -> Table:
     """Return the table of a configuration.
 
     :raises DecodeError: if it can't be read.
     """
     configuration = decode_configuration(document.data)
     try:
-        rows = msgspec.convert(configuration.routes.objects(), list[RouteRow])
-        routes = HostRoutes(read_route(row) for row in rows)
+        rows = msgspec.convert(configuration.routes.to_dicts(), list[RouteRow])
+        routes = HostRoutes(build_route(row) for row in rows)
     except (msgspec.MsgspecError, ValueError) as error:
         raise DecodeError(f"a route can't be read: {error}") from error
     return Table(
@@ -124,29 +124,29 @@
         raise DecodeError(f"the configuration can't be read: {error}") from error
 
 
-def read_version(text: str) -> int:
+def parse_version(text: str) -> int:
     """Return the number of a version.
 
     :raises DecodeError: if it is not written as one.
     """
-    match = VERSION.fullmatch(text)
+    match = VERSION_PATTERN.fullmatch(text)
     if match is None:
         raise DecodeError(f"{text!r} is not a version of the configuration")
     return int(match[1])
 
 
-def read_time(text: str) -> timedelta:
+def parse_duration(text: str) -> timedelta:
     """Return a time that is written as a number and its unit.
 
     :raises DecodeError: if it is not written so.
     """
-    match = TIME.fullmatch(text)
+    match = DURATION_PATTERN.fullmatch(text)
     if match is None:
         raise DecodeError(f"{text!r} is not a time")
-    return float(match[1]) * UNITS[match[2]]
+    return float(match[1]) * DURATION_UNITS[match[2]]
 
 
-def read_route(row: RouteRow) -> HostRoute:
+def build_route(row: RouteRow) -> HostRoute:
     """Return the route of a row.
 
     :raises DecodeError: if a time can't be read.
@@ -164,8 +164,8 @@
         host=row.host.lower(),
         path_prefix=row.path_prefix,
         kind=RouteKind(row.kind),
-        timeout=read_time(row.timeout),
-        aim=read_time(row.aim),
+        timeout=parse_duration(row.timeout),
+        aim=parse_duration(row.aim),
         priority=row.priority,
         max_attempts=row.max_attempts,
         parts=parts,
--- a/src/wagtailstep/platform/daemon.py
+++ b/src/wagtailstep/platform/daemon.py
@@ -13,7 +13,7 @@
 from wagtailstep.models.keyed_store import KeyedStore
 from wagtailstep.network.daemon import Daemon
 from wagtailstep.network.table_follower import TableFollower
-from wagtailstep.platform.configuration import find_document, read_document
+from wagtailstep.platform.configuration import build_table, find_document
 from wagtailstep.platform.heartbeats import add_heartbeat_routes
 from wagtailstep.platform.settings import PlatformSettings
 from wagtailstep.platform.store import PlatformStore
@@ -40,7 +40,7 @@
         """Return the controllers; the table comes whole and gates judge targets."""
         parts = (self.settings, self.blackboard, self.clock, self.rng)
         return (
-            PublishedTableController(*parts, read_document),
+            PublishedTableController(*parts, build_table),
             MembershipController(*parts),
             AnnouncementController(*parts),
             DisseminationController(*parts),
--- a/src/wagtailstep/platform/heartbeats.py
+++ b/src/wagtailstep/platform/heartbeats.py
@@ -12,13 +12,13 @@
 from wagtailstep.models.fleet import Target, TargetStanding, TargetState
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.network.announcements import check_address, check_slots
-from wagtailstep.platform.configuration import read_time
+from wagtailstep.platform.configuration import parse_duration
 from wagtailstep.utils.clock import Clock
 from wagtailstep.utils.logging import log_event
 
 LOGGER = logging.getLogger(__name__)
-PATH = "/v1/instances/{id}"
-STATES = {"ready": TargetState.SERVING, "draining": TargetState.LEAVING}
+INSTANCE_PATH = "/v1/instances/{id}"
+TARGET_STATES = {"ready": TargetState.SERVING, "draining": TargetState.LEAVING}
 
 
 class Heartbeat(msgspec.Struct, rename="kebab"):
@@ -54,43 +54,43 @@
         self.settings = settings
         self.clock = clock
 
-    async def beat(self, request: Request) -> Response:
+    async def handle_heartbeat(self, request: Request) -> Response:
         """Take a heartbeat."""
         instance_id = request.route_values["id"]
         try:
-            event = self.read(instance_id, await request.read() or b"")
+            event = self.parse_heartbeat(instance_id, await request.read() or b"")
         except (msgspec.MsgspecError, BadRequestError, DecodeError) as error:
             log_event(LOGGER, "heartbeat-refused", instance=instance_id, error=error)
             return Response(400)
         self.dispatch(event)
         return Response(200, None, Content(b"application/json", b"{}"))
 
-    def read(self, instance_id: str, body: bytes) -> TargetAnnounced:
+    def parse_heartbeat(self, instance_id: str, body: bytes) -> TargetAnnounced:
         """Return the announcement that a heartbeat stands for.
 
         :raises MsgspecError: if the body has missing or wrong fields.
         :raises BadRequestError: if a value is not allowed.
         :raises DecodeError: if a time can't be read.
         """
-        beat = msgspec.json.decode(body, type=Heartbeat)
-        if beat.state not in STATES:
-            raise BadRequestError(f"state {beat.state!r} is unknown")
-        check_address(beat.address, self.settings)
-        check_slots(beat.slots)
-        warming = bool(read_time(beat.warmup_left))
+        heartbeat = msgspec.json.decode(body, type=Heartbeat)
+        if heartbeat.state not in TARGET_STATES:
+            raise BadRequestError(f"state {heartbeat.state!r} is unknown")
+        check_address(heartbeat.address, self.settings)
+        check_slots(heartbeat.slots)
+        warming = bool(parse_duration(heartbeat.warmup_left))
         target = Target(
-            target_id=f"{beat.service}/{instance_id}",
-            service=beat.service,
+            target_id=f"{heartbeat.service}/{instance_id}",
+            service=heartbeat.service,
             daemon_id=self.settings.daemon_id,
             availability_zone=self.settings.availability_zone,
-            slots=beat.slots,
-            state=STATES[beat.state],
+            slots=heartbeat.slots,
+            state=TARGET_STATES[heartbeat.state],
             standing=TargetStanding.WARMING if warming else TargetStanding.GOOD,
-            address=beat.address,
+            address=heartbeat.address,
         )
-        return TargetAnnounced(target, beat.born, beat.sequence)
+        return TargetAnnounced(target, heartbeat.born, heartbeat.sequence)
 
-    async def leave(self, request: Request) -> Response:
+    async def handle_withdrawal(self, request: Request) -> Response:
         """Take the withdrawal of a target."""
         instance_id = request.route_values["id"]
         # ``born`` of a heartbeat is Unix time in milliseconds as well.
@@ -110,11 +110,11 @@
     routes = HeartbeatRoutes(dispatch, settings, clock)
 
     # The router marks its handlers, which only plain functions allow.
-    async def beat(request: Request) -> Response:
-        return await routes.beat(request)
+    async def handle_heartbeat(request: Request) -> Response:
+        return await routes.handle_heartbeat(request)
 
-    async def leave(request: Request) -> Response:
-        return await routes.leave(request)
+    async def handle_withdrawal(request: Request) -> Response:
+        return await routes.handle_withdrawal(request)
 
-    app.router.add("PUT", PATH, beat)
-    app.router.add("DELETE", PATH, leave)
+    app.router.add("PUT", INSTANCE_PATH, handle_heartbeat)
+    app.router.add("DELETE", INSTANCE_PATH, handle_withdrawal)
--- a/src/wagtailstep/platform/program.py
+++ b/src/wagtailstep/platform/program.py
@@ -20,22 +20,22 @@
 
     Exit codes are those of ``wagtailstep-daemon run``.
     """
-    settings = find_settings()
+    settings = read_platform_settings()
     whole = run_daemon(
         settings.daemon,
         lambda: PlatformDaemon(settings, LoopClock()),
-        lambda: find_settings().daemon,
+        lambda: read_platform_settings().daemon,
     )
     return status_codes.SUCCESS if whole else status_codes.ERROR
 
 
 def check() -> int:
     """Check the settings file and start nothing."""
-    print(f"ok: settings of daemon {find_settings().daemon.daemon_id}")
+    print(f"ok: settings of daemon {read_platform_settings().daemon.daemon_id}")
     return status_codes.SUCCESS
 
 
-def find_settings() -> PlatformSettings:
+def read_platform_settings() -> PlatformSettings:
     """Read the settings file that the platform names.
 
     :raises SettingsError: if it is missing or wrong.
--- a/src/wagtailstep/platform/stand_in.py
+++ b/src/wagtailstep/platform/stand_in.py
@@ -10,9 +10,14 @@
 from blacksheep import Application, Content, Request, Response, Router
 
 from wagtailstep.network.http_server import HttpServer
-from wagtailstep.platform.store import LENGTH, OFFSETS, split_record, split_records
+from wagtailstep.platform.store import (
+    READ_HEADER,
+    RECORD_LENGTH,
+    parse_keyed_record,
+    split_records,
+)
 
-LONGEST_SILENCE_S = 3_600.0
+UNANSWERED_CALL_S = 3_600.0
 
 
 @attrs.define
@@ -27,20 +32,22 @@
     records: list[tuple[int, bytes]] = attrs.field(factory=list)
     end: int = 0
     first: int = 0
-    grown: asyncio.Event = attrs.field(factory=asyncio.Event)
+    appended: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def append(self, record: bytes) -> int:
         """Append a record and return its offset."""
         offset = self.end
         self.records.append((offset, record))
         self.end += 1
-        self.grown.set()
-        self.grown = asyncio.Event()
+        self.appended.set()
+        self.appended = asyncio.Event()
         return offset
 
     def compact(self) -> None:
         """Keep only the newest record of each key, and no history."""
-        newest = {split_record(record)[0]: (at, record) for at, record in self.records}
+        newest = {
+            parse_keyed_record(record)[0]: (at, record) for at, record in self.records
+        }
         self.records = sorted(newest.values())
         self.first = self.end
 
@@ -52,13 +59,13 @@
     :param status: answered to calls that then have no effect; 0 for none.
     :param silent: calls have no effect and get no answer.
     :param lost_answers: appends that take effect and get no answer.
-    :param garbled: answers are cut in the middle.
+    :param truncated_answers: answers are cut in the middle.
     """
 
     status: int = 0
     silent: bool = False
     lost_answers: int = 0
-    garbled: bool = False
+    truncated_answers: bool = False
 
 
 class StandInStore:
@@ -77,14 +84,14 @@
         await self.app.start()
         return await self.server.start(address)
 
-    def topic(self, name: str) -> Topic:
+    def get_topic(self, name: str) -> Topic:
         """Return a topic, made on first use."""
         return self.topics.setdefault(name, Topic())
 
     def put(self, topic: str, key: str, value: bytes) -> None:
         """Write a keyed record, as the operator does."""
         name = key.encode()
-        self.topic(topic).append(bytes([len(name)]) + name + value)
+        self.get_topic(topic).append(bytes([len(name)]) + name + value)
 
     def add_routes(self) -> None:
         """Add the calls to the application."""
@@ -106,13 +113,13 @@
         """Serve a call, or what its fault makes of it."""
         self.calls.append(request.url.path.decode())
         if self.faults.silent:
-            await asyncio.sleep(LONGEST_SILENCE_S)
+            await asyncio.sleep(UNANSWERED_CALL_S)
         if self.faults.status:
             return Response(self.faults.status)
         query = {name: values[0] for name, values in request.query.items()}
         body = await request.read() or b""
-        response = await call(self.topic(query["topic"]), query, body)
-        if self.faults.garbled:
+        response = await call(self.get_topic(query["topic"]), query, body)
+        if self.faults.truncated_answers:
             content = response.content
             response.content = Content(content.type, content.body[:-3])
         return response
@@ -120,11 +127,11 @@
     async def append(self, topic: Topic, query: dict[str, str], body: bytes) -> Any:
         """Append records, all or nothing."""
         offset = topic.end
-        for record in split_records(bytes(OFFSETS.size) + body):
+        for record in split_records(bytes(READ_HEADER.size) + body):
             topic.append(record)
         if self.faults.lost_answers:
             self.faults.lost_answers -= 1
-            await asyncio.sleep(LONGEST_SILENCE_S)
+            await asyncio.sleep(UNANSWERED_CALL_S)
         return answer_json({"offset": offset, "end": topic.end})
 
     async def read(self, topic: Topic, query: dict[str, str], body: bytes) -> Response:
@@ -135,20 +142,20 @@
         if start >= topic.end:
             wait_s = int(query.get("wait-ms", "0")) / 1_000
             try:
-                await asyncio.wait_for(topic.grown.wait(), wait_s)
+                await asyncio.wait_for(topic.appended.wait(), wait_s)
             except TimeoutError:
                 pass
-        data = OFFSETS.pack(topic.end, topic.first)
+        data = READ_HEADER.pack(topic.end, topic.first)
         for offset, record in topic.records:
             if offset >= start:
-                data += LENGTH.pack(len(record)) + record
+                data += RECORD_LENGTH.pack(len(record)) + record
         return Response(200, None, Content(b"application/octet-stream", data))
 
     async def newest(self, topic: Topic, query: dict[str, str], body: bytes) -> Any:
         """Return the newest record of each key."""
         newest: dict[str, tuple[int, bytes]] = {}
         for offset, record in topic.records:
-            key, value = split_record(record)
+            key, value = parse_keyed_record(record)
             newest.pop(key, None)
             if value:
                 newest[key] = (offset, value)
--- a/src/wagtailstep/platform/store.py
+++ b/src/wagtailstep/platform/store.py
@@ -26,11 +26,11 @@
     Collection.MEMBERS: "keyed.wagtailstep-members",
 }
 MILLISECOND = timedelta(milliseconds=1)
-LENGTH = struct.Struct(">I")
-OFFSETS = struct.Struct(">QQ")
+RECORD_LENGTH = struct.Struct(">I")
+READ_HEADER = struct.Struct(">QQ")
 MAX_PAGES = 100
 # The store answers these before it does anything.
-WITHOUT_EFFECT = frozenset(
+STATUSES_WITHOUT_EFFECT = frozenset(
     {
         HTTPStatus.BAD_REQUEST,
         HTTPStatus.FORBIDDEN,
@@ -89,7 +89,7 @@
         for _ in range(MAX_PAGES):
             query = f"topic={TOPICS[collection]}&part=0{after}"
             reply = await self.calls.read(f"/v1/log-newest?{query}", self.timeout)
-            page = decode(check_ok(reply), NewestPage)
+            page = decode_json(get_ok_body(reply), NewestPage)
             first_end = page.end if first_end is None else first_end
             values.update(decode_items(page.items))
             if not page.has_more or not page.items:
@@ -105,22 +105,22 @@
         path = f"/v1/log-read?{query}&wait-ms={wait // MILLISECOND}"
         reply = await self.calls.read(path, wait + self.timeout)
         if reply.status == HTTPStatus.GONE:
-            raise RecordExpiredError(decode(reply.body, ExpiredReply).first)
+            raise RecordExpiredError(decode_json(reply.body, ExpiredReply).first)
         values: dict[str, bytes] = {}
         next_offset = offset
-        for record in split_records(check_ok(reply)):
+        for record in split_records(get_ok_body(reply)):
             next_offset += 1
-            key, value = split_record(record)
+            key, value = parse_keyed_record(record)
             values[key] = value
         return KeyedRecords(values, next_offset)
 
     async def put(self, collection: Collection, key: str, value: bytes) -> None:
         """Append the newest record of a key."""
         record = bytes([len(key.encode())]) + key.encode() + value
-        body = LENGTH.pack(len(record)) + record
+        body = RECORD_LENGTH.pack(len(record)) + record
         path = f"/v1/log-append?topic={TOPICS[collection]}&part=0"
         reply = await self.calls.append(path, body, self.timeout)
-        if reply.status in WITHOUT_EFFECT:
+        if reply.status in STATUSES_WITHOUT_EFFECT:
             raise LogUnavailableError(f"the store refused an append: {reply.status}")
         if reply.status != HTTPStatus.OK:
             raise AppendUnknownError(f"the store answered an append: {reply.status}")
@@ -130,7 +130,7 @@
         self.calls.close()
 
 
-def check_ok(reply: HttpReply) -> bytes:
+def get_ok_body(reply: HttpReply) -> bytes:
     """Return the body of a good answer.
 
     :raises LogUnavailableError: if it is another one.
@@ -140,7 +140,7 @@
     return reply.body
 
 
-def decode(body: bytes, kind: type[_T]) -> _T:
+def decode_json(body: bytes, kind: type[_T]) -> _T:
     """Decode a JSON body.
 
     :raises LogUnavailableError: if it is something else.
@@ -169,19 +169,19 @@
 
     :raises LogUnavailableError: if the body ends within a record.
     """
-    position = OFFSETS.size
+    position = READ_HEADER.size
     while position < len(body):
-        start = position + LENGTH.size
+        start = position + RECORD_LENGTH.size
         if start > len(body):
             raise LogUnavailableError("the store's answer ends within a record")
-        (length,) = LENGTH.unpack_from(body, position)
+        (length,) = RECORD_LENGTH.unpack_from(body, position)
         position = start + length
         if position > len(body):
             raise LogUnavailableError("the store's answer ends within a record")
         yield body[start:position]
 
 
-def split_record(record: bytes) -> tuple[str, bytes]:
+def parse_keyed_record(record: bytes) -> tuple[str, bytes]:
     """Split a keyed record into key and value."""
     if not record or len(record) < 1 + record[0]:
         return "", b""
