--- a/features/steps/table_steps.py
+++ b/features/steps/table_steps.py
@@ -387,9 +387,9 @@
     fold.table.services["contracts"] = ServiceRow("contracts", drain_limit_s=1.0)
     fold.content_hash = hash_table(fold.table)
     for part in split_snapshot("wrong", fold, fleet.clock.utc()):
-        fleet.log.store("table", encode_message(part))
+        fleet.log.store_record("table", encode_message(part))
     fleet.log.faults.retention_records = 1
-    fleet.log.expire("table")
+    fleet.log.drop_expired_records("table")
     cuts = {(name, "d0000") for name in fleet.daemons}
     fleet.network.cuts |= cuts
     fleet.restart("d0000", timedelta(seconds=1))
--- a/src/wagtailstep/cli/daemon.py
+++ b/src/wagtailstep/cli/daemon.py
@@ -20,12 +20,12 @@
     :param file: path of the JSON settings file.
     """
     settings = read_settings(str(file), DaemonSettings)
-    whole = run_daemon(
+    drained = run_daemon(
         settings,
         lambda: LogDaemon(settings, LoopClock()),
         lambda: read_settings(str(file), DaemonSettings),
     )
-    return status_codes.SUCCESS if whole else status_codes.ERROR
+    return status_codes.SUCCESS if drained else status_codes.ERROR
 
 
 def check(file: str) -> int:
--- a/src/wagtailstep/cli/run.py
+++ b/src/wagtailstep/cli/run.py
@@ -30,7 +30,9 @@
 
 def exit_code_of(error: WagtailstepError) -> int:
     """Return the exit code that an error stands for."""
-    return next(code for kind, code in _EXIT_CODES if isinstance(error, kind))
+    return next(
+        code for error_type, code in _EXIT_CODES if isinstance(error, error_type)
+    )
 
 
 def print_error(message: str) -> None:
@@ -50,8 +52,8 @@
     :return: the exit code; 2 for a wrong argument, and then nothing was run.
     """
     try:
-        call = _parse_arguments(commands, name)
-        return call() or status_codes.SUCCESS
+        deferred_call = _parse_arguments(commands, name)
+        return deferred_call() or status_codes.SUCCESS
     except FireExit as stop:
         return stop.code
     except WagtailstepError as error:
@@ -72,22 +74,24 @@
     :raises SettingsError: if an argument is wrong.
     :raises FireExit: after the help text was shown.
     """
-    calls: list[Callable[[], int | None]] = []
-    messages = io.StringIO()
+    deferred_calls: list[Callable[[], int | None]] = []
+    help_output = io.StringIO()
     try:
-        with contextlib.redirect_stderr(messages):
+        with contextlib.redirect_stderr(help_output):
             fire.Fire(
-                _defer_commands(commands, calls), name=name, serialize=_print_none
+                _defer_commands(commands, deferred_calls),
+                name=name,
+                serialize=_print_none,
             )
     except FireExit as stop:
         if stop.code == 0:
-            print(messages.getvalue(), file=sys.stderr)
+            print(help_output.getvalue(), file=sys.stderr)
             raise
         problem = stop.trace.elements[-1].ErrorAsStr()
         raise SettingsError(f"{problem}; see {name} --help") from stop
-    if not calls:
+    if not deferred_calls:
         raise SettingsError(f"no command was given; see {name} --help")
-    return calls[0]
+    return deferred_calls[0]
 
 
 def _print_none(_result: Any) -> None:
@@ -95,19 +99,23 @@
 
 
 def _defer_commands(
-    commands: dict[str, Command] | Command, calls: list[Callable[[], int | None]]
+    commands: dict[str, Command] | Command,
+    deferred_calls: list[Callable[[], int | None]],
 ) -> Any:
     if callable(commands):
-        return _defer_command(commands, calls)
-    return {name: _defer_command(command, calls) for name, command in commands.items()}
+        return _defer_command(commands, deferred_calls)
+    return {
+        name: _defer_command(command, deferred_calls)
+        for name, command in commands.items()
+    }
 
 
 def _defer_command(
-    command: Command, calls: list[Callable[[], int | None]]
+    command: Command, deferred_calls: list[Callable[[], int | None]]
 ) -> Callable[..., None]:
     # Fire reads the signature and the doc comment through the wrapper.
     @functools.wraps(command)
-    def keep_arguments(*args: Any, **kwargs: Any) -> None:
-        calls.append(functools.partial(command, *args, **kwargs))
+    def defer_call(*args: Any, **kwargs: Any) -> None:
+        deferred_calls.append(functools.partial(command, *args, **kwargs))
 
-    return keep_arguments
+    return defer_call
--- a/src/wagtailstep/cli/table.py
+++ b/src/wagtailstep/cli/table.py
@@ -57,8 +57,8 @@
     """
 
     async def read_rows() -> Iterable[str]:
-        wanted = None if version is None else check_number("version", version, 0)
-        table = await create_table_client(log).read_table(wanted)
+        table_version = None if version is None else check_number("version", version, 0)
+        table = await create_table_client(log).read_table(table_version)
         return show_rows(table, str(kind), str(prefix))
 
     _run(read_rows)
@@ -71,8 +71,8 @@
     :param version: an older version that the log still knows.
     :param log: ``host:port`` of the log service.
     """
-    wanted = None if version is None else check_number("version", version, 0)
-    table = asyncio.run(create_table_client(log).read_table(wanted))
+    table_version = None if version is None else check_number("version", version, 0)
+    table = asyncio.run(create_table_client(log).read_table(table_version))
     if path == "-":
         sys.stdout.write(write_csv(table))
         return
@@ -212,8 +212,8 @@
         client = create_table_client(log)
         proposal = build_proposal(author, reason)
         fold = await client.read_fold()
-        wanted = check_number("version", version, 0)
-        changes = await table_edit.plan_revert(client, fold, wanted)
+        table_version = check_number("version", version, 0)
+        changes = await table_edit.plan_revert(client, fold, table_version)
         return await table_edit.submit(
             client, fold, fold.version, changes, proposal, dry_run
         )
@@ -266,14 +266,14 @@
     :param addresses: caller address, ``host:port``, of each daemon.
     :param log: ``host:port`` of the log service.
     """
-    wanted = check_addresses(addresses)
+    daemon_addresses = check_addresses(addresses)
     client = create_table_client(log)
 
-    async def ask() -> tuple[TableFold | None, list[DaemonReport]]:
-        reports = await query_daemons(create_daemon_client(), wanted)
+    async def fetch_status_and_fold() -> tuple[TableFold | None, list[DaemonReport]]:
+        reports = await query_daemons(create_daemon_client(), daemon_addresses)
         return await read_fold_or_none(client), reports
 
-    fold, reports = asyncio.run(ask())
+    fold, reports = asyncio.run(fetch_status_and_fold())
     _print_lines(describe_reports(fold, reports))
     unreachable = any(report.status is None for report in reports)
     return status_codes.PARTIAL if unreachable else status_codes.SUCCESS
@@ -292,7 +292,7 @@
     :param run_time_s: seconds after which the program ends.
     :param log: ``host:port`` of the log service.
     """
-    wanted = check_addresses(addresses)
+    daemon_addresses = check_addresses(addresses)
     client = create_table_client(log)
     interval = timedelta(seconds=check_seconds("interval_s", interval_s))
     run_time = timedelta(seconds=check_seconds("run_time_s", run_time_s))
@@ -301,7 +301,9 @@
         print(line, flush=True)
 
     daemons = create_daemon_client()
-    asyncio.run(watch_table(client, daemons, wanted, interval, run_time, show_line))
+    asyncio.run(
+        watch_table(client, daemons, daemon_addresses, interval, run_time, show_line)
+    )
 
 
 def restore(
@@ -322,14 +324,16 @@
     :param author: who; your login name if empty.
     :param log: ``host:port`` of the log service.
     """
-    wanted = check_addresses(addresses)
+    daemon_addresses = check_addresses(addresses)
     proposal = build_proposal(author, reason)
     number = check_number("version", version, 1)
     file = read_file(path)
     client = create_table_client(log)
 
     async def append() -> Iterable[str]:
-        check_no_daemon_has_table(await query_daemons(create_daemon_client(), wanted))
+        check_no_daemon_has_table(
+            await query_daemons(create_daemon_client(), daemon_addresses)
+        )
         count = await restore_table(client, file, number, proposal)
         return [f"restored version={number} records={count}"]
 
--- a/src/wagtailstep/cli/table_arguments.py
+++ b/src/wagtailstep/cli/table_arguments.py
@@ -54,17 +54,17 @@
         raise SettingsError(f"file {path!r} can't be read: {error}") from error
 
 
-def check_number(name: str, version: Any, lowest: int) -> int:
+def check_number(name: str, value: Any, lowest: int) -> int:
     """Return a whole number of at least ``lowest``.
 
     :raises SettingsError: if it is something else.
     """
-    if not isinstance(version, int) or version < lowest:
+    if not isinstance(value, int) or value < lowest:
         raise SettingsError(
-            f"--{name}={version!r} is not allowed, allowed is a whole number of at "
+            f"--{name}={value!r} is not allowed, allowed is a whole number of at "
             f"least {lowest}"
         )
-    return version
+    return value
 
 
 def create_daemon_client() -> DaemonClient:
--- a/src/wagtailstep/cli/timeline.py
+++ b/src/wagtailstep/cli/timeline.py
@@ -86,9 +86,9 @@
     :param files: logs, as for ``explain``.
     :param span_s: seconds before and after whose changes are told.
     """
-    at = read_time(time)
-    beliefs = compute_fleet_beliefs(read_logs(files), at, timedelta(seconds=span_s))
-    print(format_fleet_beliefs(beliefs, at))
+    moment = read_time(time)
+    beliefs = compute_fleet_beliefs(read_logs(files), moment, timedelta(seconds=span_s))
+    print(format_fleet_beliefs(beliefs, moment))
     return status_codes.SUCCESS
 
 
--- a/src/wagtailstep/commands/explain_request.py
+++ b/src/wagtailstep/commands/explain_request.py
@@ -54,13 +54,13 @@
 
     :param lines: lines of all daemons, those of one daemon in its order.
     """
-    own = [line for line in lines if is_part_of(line, request_id)]
-    ordered = sort_lines(own)
+    request_lines = [line for line in lines if is_part_of(line, request_id)]
+    ordered = sort_lines(request_lines)
     end = find_end_event(ordered, request_id)
     beliefs = select_relevant_beliefs(lines, ordered, end) if end is not None else []
     cause = determine_cause(ordered, beliefs, request_id)
-    if not own and (missing := count_dropped_lines(lines)):
-        cause += f"; {missing} lines were dropped, as their reader was slow"
+    if not request_lines and (dropped := count_dropped_lines(lines)):
+        cause += f"; {dropped} lines were dropped, as their reader was slow"
     return RequestExplanation(request_id, ordered, beliefs, cause)
 
 
@@ -107,11 +107,11 @@
 
 
 def select_relevant_beliefs(
-    lines: Sequence[LogLine], story: Sequence[LogLine], end: LogLine
+    lines: Sequence[LogLine], trace_lines: Sequence[LogLine], end: LogLine
 ) -> list[Belief]:
     """Return what the entry, and the gates it asked, believed when a request ended."""
     tried = set(end.get("tried").split(",")) - {""}
-    gates = {line.process for line in story if line.event == "work-ended"}
+    gates = {line.process for line in trace_lines if line.event == "work-ended"}
 
     def is_relevant(line: LogLine) -> bool:
         at_entry = line.process == end.process
@@ -123,8 +123,8 @@
             return at_entry and line.get("member") in gates
         return at_entry
 
-    held = find_beliefs_at(lines, end.time)
-    return [Belief(line, end.time - line.time) for line in held if is_relevant(line)]
+    beliefs = find_beliefs_at(lines, end.time)
+    return [Belief(line, end.time - line.time) for line in beliefs if is_relevant(line)]
 
 
 def determine_cause(
@@ -189,14 +189,14 @@
     }
     verb = verbs.get(work.get("result"), f"ended the work as {work.get('result')}")
     # The gate's judgement follows the failure; the one before it is what counted.
-    held = [
+    standings = [
         belief.line.get("standing")
         for belief in beliefs
         if belief.line.event == STANDING_EVENT
         and belief.line.get("target") == target
         and belief.line.time < work.time
     ]
-    return f"target {target} {verb}, believed {held[-1] if held else 'good'} before"
+    return f"target {target} {verb}, believed {standings[-1] if standings else 'good'} before"
 
 
 def describe_end(end: LogLine, outcome: str) -> str:
@@ -223,8 +223,8 @@
 
 def count_dropped_lines(lines: Iterable[LogLine]) -> int:
     """Return how many lines the daemons say they dropped."""
-    told = (line for line in lines if line.event == "lines-left-out")
-    return sum(int(line.get("dropped") or 0) for line in told)
+    reports = (line for line in lines if line.event == "lines-left-out")
+    return sum(int(line.get("dropped") or 0) for line in reports)
 
 
 def count_causes(lines: Sequence[LogLine]) -> Counter[str]:
@@ -232,13 +232,15 @@
 
     Names of targets are left out, so that alike causes count together.
     """
-    by_caller: dict[str, list[LogLine]] = {}
+    lines_by_caller_request: dict[str, list[LogLine]] = {}
     for line in lines:
         if line.request_id:
-            by_caller.setdefault(line.request_id.split(".")[0], []).append(line)
+            lines_by_caller_request.setdefault(
+                line.request_id.split(".")[0], []
+            ).append(line)
     causes: Counter[str] = Counter()
-    for request_id, own in by_caller.items():
-        ordered = sort_lines(own)
+    for request_id, request_lines in lines_by_caller_request.items():
+        ordered = sort_lines(request_lines)
         if find_end_event(ordered, request_id) is None:
             continue
         cause = determine_cause(ordered, [], request_id)
@@ -254,20 +256,24 @@
     return cause.partition(", believed")[0]
 
 
-def format_explanation(story: RequestExplanation) -> str:
+def format_explanation(explanation: RequestExplanation) -> str:
     """Write a story as text."""
-    texts = [f"request {story.request_id}: {story.cause}"]
-    start = story.lines[0].time if story.lines else None
-    for line in story.lines:
-        after_ms = (line.time - start) / MILLISECOND
-        texts.append(f"  {after_ms:+9.0f} ms  {line.process}  {format_line(line)}")
-    if story.beliefs:
-        texts.append("believed when it ended:")
-    for belief in story.beliefs:
+    output_lines = [f"request {explanation.request_id}: {explanation.cause}"]
+    start = explanation.lines[0].time if explanation.lines else None
+    for line in explanation.lines:
+        offset_ms = (line.time - start) / MILLISECOND
+        output_lines.append(
+            f"  {offset_ms:+9.0f} ms  {line.process}  {format_line(line)}"
+        )
+    if explanation.beliefs:
+        output_lines.append("believed when it ended:")
+    for belief in explanation.beliefs:
         line = belief.line
         age_s = belief.age.total_seconds()
-        texts.append(f"  for {age_s:7.3f} s  {line.process}  {format_line(line)}")
-    return "\n".join(texts)
+        output_lines.append(
+            f"  for {age_s:7.3f} s  {line.process}  {format_line(line)}"
+        )
+    return "\n".join(output_lines)
 
 
 def format_causes(causes: Counter[str]) -> str:
--- a/src/wagtailstep/commands/fleet_beliefs.py
+++ b/src/wagtailstep/commands/fleet_beliefs.py
@@ -106,12 +106,20 @@
 
 def format_fleet_beliefs(beliefs: FleetBeliefs, at: datetime) -> str:
     """Write beliefs as text."""
-    texts = [f"table version {v}: {n} daemons" for v, n in beliefs.tables.items()]
-    texts += [f"target {name}: {held}" for name, held in beliefs.standings.items()]
-    texts += [f"member {name}: {n} daemons" for name, n in beliefs.members.items()]
-    texts += [f"store not reached by {name}" for name in beliefs.without_store]
-    texts.append("changes around then:")
+    output_lines = [
+        f"table version {v}: {n} daemons" for v, n in beliefs.tables.items()
+    ]
+    output_lines += [
+        f"target {name}: {standing}" for name, standing in beliefs.standings.items()
+    ]
+    output_lines += [
+        f"member {name}: {n} daemons" for name, n in beliefs.members.items()
+    ]
+    output_lines += [f"store not reached by {name}" for name in beliefs.without_store]
+    output_lines.append("changes around then:")
     for line in beliefs.changes:
-        after_s = (line.time - at).total_seconds()
-        texts.append(f"  {after_s:+7.3f} s  {line.process}  {format_line(line)}")
-    return "\n".join(texts)
+        offset_s = (line.time - at).total_seconds()
+        output_lines.append(
+            f"  {offset_s:+7.3f} s  {line.process}  {format_line(line)}"
+        )
+    return "\n".join(output_lines)
--- a/src/wagtailstep/commands/read_settings.py
+++ b/src/wagtailstep/commands/read_settings.py
@@ -13,11 +13,13 @@
 _T = TypeVar("_T")
 
 
-def _refuse_wrong_type(value: Any, kind: type) -> Any:
-    accepted = (int, float) if kind is float else kind
-    if isinstance(value, bool) != (kind is bool) or not isinstance(value, accepted):
-        raise TypeError(f"{value!r} is not allowed; give {_TYPE_NAMES[kind]}")
-    return kind(value)
+def _reject_wrong_type(value: Any, value_type: type) -> Any:
+    accepted = (int, float) if value_type is float else value_type
+    if isinstance(value, bool) != (value_type is bool) or not isinstance(
+        value, accepted
+    ):
+        raise TypeError(f"{value!r} is not allowed; give {_TYPE_NAMES[value_type]}")
+    return value_type(value)
 
 
 _TYPE_NAMES = {
@@ -31,8 +33,8 @@
 def create_converter() -> cattrs.Converter:
     """Return a converter that refuses unknown keys and converts no types."""
     converter = cattrs.Converter(forbid_extra_keys=True)
-    for kind in _TYPE_NAMES:
-        converter.register_structure_hook(kind, _refuse_wrong_type)
+    for value_type in _TYPE_NAMES:
+        converter.register_structure_hook(value_type, _reject_wrong_type)
     return converter
 
 
--- a/src/wagtailstep/commands/run_daemon.py
+++ b/src/wagtailstep/commands/run_daemon.py
@@ -51,9 +51,9 @@
     daemon = create_daemon()
     await daemon.start()
     freeze_startup_objects()
-    watching = asyncio.create_task(reloader.watch())
+    watch_task = asyncio.create_task(reloader.watch())
     await stop.wait()
-    watching.cancel()
+    watch_task.cancel()
     log_event(LOGGER, "signal-received")
     return await daemon.shut_down()
 
--- a/src/wagtailstep/commands/table_cells.py
+++ b/src/wagtailstep/commands/table_cells.py
@@ -88,13 +88,13 @@
         column = columns[name]
         empty = not text.strip()
         values[name] = column.default if empty else parse_cell(row_id, column, text)
-    row = row_id.kind.row_type(row_id.key) if base is None else base
-    made = attrs.evolve(row, **values)
+    base_row = row_id.kind.row_type(row_id.key) if base is None else base
+    row = attrs.evolve(base_row, **values)
     try:
-        check_row(row_id, made)
+        check_row(row_id, row)
     except TableError as error:
         raise CellError(str(error)) from error
-    return made
+    return row
 
 
 def format_row(kind: RowKind, row: Row) -> dict[str, str]:
--- a/src/wagtailstep/commands/table_changes.py
+++ b/src/wagtailstep/commands/table_changes.py
@@ -19,14 +19,14 @@
     }
 
 
-def compute_changes(before: Table, wanted: Mapping[RowId, Row]) -> TableChanges:
+def compute_changes(before: Table, desired_rows: Mapping[RowId, Row]) -> TableChanges:
     """Return the changes that turn a table into the wanted rows."""
     changes = TableChanges()
     old = table_rows(before)
-    for row_id, row in wanted.items():
+    for row_id, row in desired_rows.items():
         if old.get(row_id) != row:
             changes.rows(row_id.kind)[row_id.key] = row
-    for row_id in old.keys() - wanted.keys():
+    for row_id in old.keys() - desired_rows.keys():
         changes.rows(row_id.kind)[row_id.key] = None
     return changes
 
--- a/src/wagtailstep/commands/table_client.py
+++ b/src/wagtailstep/commands/table_client.py
@@ -170,7 +170,7 @@
         :raises TableError: if it was refused for another reason.
         """
         data = encode_message(edit)
-        give_up_at = self.clock.monotonic() + self.outcome_timeout
+        deadline = self.clock.monotonic() + self.outcome_timeout
         may_be_appended = False
         while True:
             try:
@@ -184,7 +184,7 @@
             outcome = await self._find_outcome(edit.edit_id)
             if outcome is not None:
                 return check_outcome(outcome)
-            if self.clock.monotonic() >= give_up_at:
+            if self.clock.monotonic() >= deadline:
                 raise AppendUnknownError(
                     f"edit {edit.edit_id} may have been accepted, now or later; ask "
                     f"again with: wagtailstep-table outcome {edit.edit_id}"
--- a/src/wagtailstep/commands/table_edit.py
+++ b/src/wagtailstep/commands/table_edit.py
@@ -94,8 +94,8 @@
 
     :raises TableError: if the log no longer knows that version.
     """
-    wanted = await client.read_table(version)
-    return compute_changes(fold.table, table_rows(wanted))
+    older_table = await client.read_table(version)
+    return compute_changes(fold.table, table_rows(older_table))
 
 
 def check_size(edit: TableEdit) -> None:
--- a/src/wagtailstep/commands/table_status.py
+++ b/src/wagtailstep/commands/table_status.py
@@ -44,16 +44,16 @@
     client: StatusClient, addresses: tuple[str, ...]
 ) -> list[DaemonReport]:
     """Ask daemons for their status, a bounded number of them at once."""
-    turns = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
 
-    async def ask(address: str) -> DaemonReport:
-        async with turns:
+    async def query(address: str) -> DaemonReport:
+        async with semaphore:
             try:
                 return DaemonReport(address, await client.fetch_status(address))
             except RequestError as error:
                 return DaemonReport(address, problem=str(error))
 
-    return list(await asyncio.gather(*map(ask, addresses)))
+    return list(await asyncio.gather(*map(query, addresses)))
 
 
 def describe_reports(
@@ -96,17 +96,20 @@
     fields: dict[str, object] = {"daemon": status.daemon_id, "address": report.address}
     if not status.table_known:
         return fields | {"state": "no-table", "log_reachable": status.log_reachable}
-    fields |= {"version": status.table_version, "since": _write(status.table_since_utc)}
+    fields |= {
+        "version": status.table_version,
+        "since": _format_time(status.table_since_utc),
+    }
     if not _is_behind(status, newest):
         return fields | {"state": "in-force"}
     missed = edits.get(status.table_version + 1)
     behind_since = None if missed is None else missed.utc
     return fields | {
         "state": "behind",
-        "behind_since": _write(behind_since),
+        "behind_since": _format_time(behind_since),
         "log_reachable": status.log_reachable,
     }
 
 
-def _write(utc: datetime | None) -> str:
+def _format_time(utc: datetime | None) -> str:
     return "unknown" if utc is None else utc.isoformat(timespec="seconds")
--- a/src/wagtailstep/commands/table_watch.py
+++ b/src/wagtailstep/commands/table_watch.py
@@ -21,13 +21,13 @@
     addresses: tuple[str, ...],
     interval: timedelta,
     run_time: timedelta,
-    show: Callable[[str], None],
+    print_line: Callable[[str], None],
 ) -> None:
     """Show each new accepted edit, and each change of the daemons' summary.
 
     :param interval: time between two looks.
     :param run_time: how long to watch.
-    :param show: takes the lines.
+    :param print_line: takes the lines.
     """
     end = client.clock.monotonic() + run_time
     last_version: int | None = None
@@ -36,11 +36,11 @@
         fold = await read_fold_or_none(client)
         if fold is not None:
             for line in list_new_edits(fold, last_version):
-                show(line)
+                print_line(line)
             last_version = fold.version
         *_, summary = describe_reports(fold, await query_daemons(daemons, addresses))
         if summary != last_summary:
-            show(summary)
+            print_line(summary)
         last_summary = summary
         await asyncio.sleep(interval.total_seconds())
 
--- a/src/wagtailstep/fakes/announcer.py
+++ b/src/wagtailstep/fakes/announcer.py
@@ -62,7 +62,7 @@
         await self.send_announcement("DELETE", path)
         self.client.close()
 
-    async def send(self, method: str, path: str) -> bool:
+    async def send_announcement(self, method: str, path: str) -> bool:
         """Send one announcement.
 
         :return: whether the daemon accepted it.
--- a/src/wagtailstep/fakes/backend_server.py
+++ b/src/wagtailstep/fakes/backend_server.py
@@ -161,17 +161,17 @@
 
     async def handle_silence(self, request: Request) -> Response:
         """Read nothing more from the connections that are open, bar this one."""
-        own = request.scope["wagtailstep.connection"]
-        self.silence_open_connections(own)
+        this_connection = request.scope["wagtailstep.connection"]
+        self.silence_open_connections(this_connection)
         return answer_json({"silenced": len(self.silenced_connections)})
 
-    def silence_open_connections(self, spared: object = None) -> None:
+    def silence_open_connections(self, excluded: object = None) -> None:
         """Stop reading from all open connections, for good.
 
-        :param spared: a connection that goes on working.
+        :param excluded: a connection that goes on working.
         """
         for connection in self.server.state.connections:
-            if connection is not spared:
+            if connection is not excluded:
                 connection.transport.pause_reading()
                 self.silenced_connections.append(connection)
 
@@ -238,8 +238,8 @@
         age_ms = (self.clock.monotonic() - self.started_at) / timedelta(milliseconds=1)
         factor = faults.slow_factor
         if age_ms < self.settings.cold_start_ms:
-            warm_share = age_ms / self.settings.cold_start_ms
-            factor *= 1 + (self.settings.cold_factor - 1) * (1 - warm_share)
+            warmup_progress = age_ms / self.settings.cold_start_ms
+            factor *= 1 + (self.settings.cold_factor - 1) * (1 - warmup_progress)
         return work.work_ms * factor / 1000
 
 
--- a/src/wagtailstep/fakes/log_server.py
+++ b/src/wagtailstep/fakes/log_server.py
@@ -78,9 +78,9 @@
 
 
 async def _set_faults(log: InMemoryLogService, request: Request) -> Response:
-    wanted = msgspec.json.decode(await request.read() or b"{}")
+    changes = msgspec.json.decode(await request.read() or b"{}")
     try:
-        changed = attrs.evolve(log.faults, **wanted)
+        changed = attrs.evolve(log.faults, **changes)
         log.faults = msgspec.convert(attrs.asdict(changed), LogFaults)
     except (TypeError, msgspec.ValidationError) as error:
         return _json(400, str(error))
--- a/src/wagtailstep/fakes/log_service.py
+++ b/src/wagtailstep/fakes/log_service.py
@@ -117,11 +117,11 @@
         await self.simulate_delay()
         self.check_available(reading=True)
         self.read_count += 1
-        found = self.drop_expired_records(stream)
-        oldest = found.oldest_offset
+        stored_stream = self.drop_expired_records(stream)
+        oldest = stored_stream.oldest_offset
         if offset < oldest:
             raise RecordExpiredError(oldest)
-        records = slice_records(found, offset - oldest, limit)
+        records = slice_records(stored_stream, offset - oldest, limit)
         return LogBatch(records, offset + len(records), oldest)
 
     async def oldest_offset(self, stream: str) -> int:
--- a/src/wagtailstep/fakes/work.py
+++ b/src/wagtailstep/fakes/work.py
@@ -77,11 +77,11 @@
             if abort_connection is not None:
                 abort_connection()
                 return
-            left = self.answer_bytes
-            while left > 0:
-                size = min(left, CHUNK_BYTES)
+            remaining = self.answer_bytes
+            while remaining > 0:
+                size = min(remaining, CHUNK_BYTES)
                 yield b"." * size
-                left -= size
+                remaining -= size
 
         length = len(text) + max(1, self.answer_bytes)
         if abort_connection is None:
--- a/src/wagtailstep/platform/program.py
+++ b/src/wagtailstep/platform/program.py
@@ -21,12 +21,12 @@
     Exit codes are those of ``wagtailstep-daemon run``.
     """
     settings = read_platform_settings()
-    whole = run_daemon(
+    drained = run_daemon(
         settings.daemon,
         lambda: PlatformDaemon(settings, LoopClock()),
         lambda: read_platform_settings().daemon,
     )
-    return status_codes.SUCCESS if whole else status_codes.ERROR
+    return status_codes.SUCCESS if drained else status_codes.ERROR
 
 
 def check() -> int:
