--- a/features/explain.feature
+++ b/features/explain.feature
@@ -7,18 +7,18 @@
     And without the lines "<event>" of it the cause is not found
 
     Examples:
-      | plant                             | cause                                   | event         |
-      | all slots are taken               | no room: 1 gates asked                  | request-ended |
-      | the backend server fails it       | failed the work with 500, believed good | work-ended    |
-      | the backend server hangs          | did not answer in time                  | work-ended    |
-      | the answer is lost                | broke off the connection                | work-ended    |
-      | the backend server is leaving     | the targets asked were leaving          | request-ended |
-      | its target failed just before     | the targets asked had failed            | request-ended |
-      | no target is known                | no target of the service was known      | request-ended |
-      | its time had passed               | its time had passed                     | request-ended |
-      | the gate is gone                  | the connection to a gate was lost       | request-ended |
-      | its caller goes away              | the caller went away                    | request-ended |
-      | a call made for it finds no room  | a call to contracts failed: no room     | request-ended |
+      | plant                            | cause                                      | event         |
+      | all slots are taken              | overloaded: 1 gates tried had no free slot | request-ended |
+      | the backend server fails it      | failed the work with 500, believed good    | work-ended    |
+      | the backend server hangs         | did not answer in time                     | work-ended    |
+      | the answer is lost               | closed the connection before its response  | work-ended    |
+      | the backend server is leaving    | the targets tried were leaving             | request-ended |
+      | its target failed just before    | the targets tried had failed               | request-ended |
+      | no target is known               | no target of the service was known         | request-ended |
+      | its time had passed              | its deadline passed                        | request-ended |
+      | the gate is gone                 | the connection to a gate was lost          | request-ended |
+      | its caller goes away             | the caller disconnected                    | request-ended |
+      | a call made for it finds no room | a call to contracts failed: overloaded     | request-ended |
 
   Scenario: Causes are counted
     Given an entry, and a gate before a backend server, whose logs are kept
--- a/src/wagtailstep/cli/__init__.py
+++ b/src/wagtailstep/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Entry points of the installed programs: arguments in, exit code out."""
+"""Entry points of the installed programs: parse arguments and return exit codes."""
--- a/src/wagtailstep/cli/daemon.py
+++ b/src/wagtailstep/cli/daemon.py
@@ -14,8 +14,8 @@
 def run(file: str) -> int:
     """Run a daemon until SIGTERM, then shut down gracefully.
 
-    Exit codes: 0 all requests in flight ended, 1 some were cut at the drain limit,
-    2 a setting is wrong.
+    Exit codes: 0 all requests in flight completed, 1 some were aborted at the
+    drain limit, 2 a setting is invalid.
 
     :param file: path of the JSON settings file.
     """
@@ -29,9 +29,9 @@
 
 
 def check(file: str) -> int:
-    """Check a settings file and start nothing.
+    """Validate a settings file without starting the daemon.
 
-    Exit codes: 0 the file is right, 2 a setting is wrong.
+    Exit codes: 0 the file is valid, 2 a setting is invalid.
 
     :param file: path of the JSON settings file.
     """
--- a/src/wagtailstep/cli/fakes.py
+++ b/src/wagtailstep/cli/fakes.py
@@ -1,4 +1,4 @@
-"""The program ``wagtailstep-fakes``: stand-ins for the platform."""
+"""The program ``wagtailstep-fakes``: stand-ins for log service and backend server."""
 
 import asyncio
 import sys
@@ -21,18 +21,18 @@
 
 @attrs.frozen
 class RunTime:
-    """How long a stand-in runs.
+    """Run time of a stand-in.
 
-    :param run_time_s: the program ends by itself after this time.
+    :param run_time_s: seconds after which the program exits on its own.
     """
 
     run_time_s: float = positive(3_600.0)
 
 
 def check_settings_arguments(cls: type[_T], **values: Any) -> _T:
-    """Check arguments as settings are checked.
+    """Build a settings class from arguments, with the checks of settings files.
 
-    :raises SettingsError: if one is wrong; the message names it.
+    :raises SettingsError: if an argument is invalid; the message names it.
     """
     return structure_settings(values, cls, "arguments")
 
@@ -45,13 +45,13 @@
     appends_per_s: int = 300,
     run_time_s: float = 3_600.0,
 ) -> None:
-    """Serve the stand-in for the log service; ``/faults`` controls its faults.
+    """Serve the stand-in for the log service; ``PUT /faults`` injects faults.
 
     :param address: ``host:port`` to listen on; port 0 lets the system choose.
-    :param retention_s: records older than this expire; 0 is never.
-    :param retention_records: records retained in a stream; 0 is all.
-    :param appends_per_s: appends allowed in one second; 0 is any number.
-    :param run_time_s: the program ends by itself after this time.
+    :param retention_s: records older than this expire; 0 keeps them forever.
+    :param retention_records: records retained per stream; 0 keeps all.
+    :param appends_per_s: appends accepted per second; 0 is unlimited.
+    :param run_time_s: seconds after which the program exits on its own.
     """
     host, port = split_address(str(address))
     faults = check_settings_arguments(
@@ -80,16 +80,16 @@
     cold_start_ms: int = 0,
     seed: int = 0,
 ) -> None:
-    """Serve one stand-in for a backend server; SIGTERM makes it leave.
+    """Serve one stand-in for a backend server; SIGTERM drains and stops it.
 
     :param service: name of the service.
     :param address: ``host:port`` to listen on; port 0 lets the system choose.
-    :param announce_address: ``host:port`` where the daemon beside it takes
-        announcements; empty for none.
-    :param slots: requests that it runs at the same time.
-    :param work_ms: time of a request that names none.
-    :param cold_start_ms: time from start to full speed.
-    :param seed: seed of random choices.
+    :param announce_address: ``host:port`` where the local daemon accepts
+        announcements; empty to announce nothing.
+    :param slots: number of requests that it runs concurrently.
+    :param work_ms: processing time of a request without the header ``fake-work-ms``.
+    :param cold_start_ms: time after the start until it reaches full speed.
+    :param seed: seed of the random generator.
     """
     settings = check_settings_arguments(
         BackendServerSettings,
--- a/src/wagtailstep/cli/load.py
+++ b/src/wagtailstep/cli/load.py
@@ -17,12 +17,12 @@
 
 
 def run(file: str, picture: str = "") -> int:
-    """Play a load at one system, or at two to compare them, and report.
+    """Send a load to one system, or to two for comparison, and print a report.
 
-    Exit codes: 0 the load was played, 2 a setting is wrong.
+    Exit codes: 0 the load was sent, 2 a setting is invalid.
 
     :param file: path of the JSON settings of the load.
-    :param picture: path of a PNG to write; none if empty.
+    :param picture: path of a PNG chart to write; no chart if empty.
     """
     settings = read_settings(str(file), LoadSettings)
     sides = asyncio.run(run_load(settings))
@@ -33,18 +33,18 @@
 
 
 async def run_load(settings: LoadSettings) -> list[SideResult]:
-    """Play a load with a progress bar on standard error."""
+    """Send a load and show a progress bar on standard error."""
     steps = settings.slices * len(settings.sides)
-    # Shown on terminals only.
+    # ``disable=None`` hides the bar unless standard error is a terminal.
     with tqdm(total=steps, unit="slice", disable=None) as progress:
         player = LoadPlayer(settings, LoopClock(), progress.update)
         return await player.play()
 
 
 def check(file: str) -> int:
-    """Check the settings of a load and send nothing.
+    """Validate the settings of a load without sending requests.
 
-    Exit codes: 0 they are right, 2 a setting is wrong.
+    Exit codes: 0 the settings are valid, 2 a setting is invalid.
 
     :param file: path of the JSON settings of the load.
     """
--- a/src/wagtailstep/cli/run.py
+++ b/src/wagtailstep/cli/run.py
@@ -1,4 +1,4 @@
-"""Shared glue of all programs: run a command, turn errors into exit codes."""
+"""Command dispatch of all programs, and the mapping of errors to exit codes."""
 
 import contextlib
 import functools
@@ -29,27 +29,27 @@
 
 
 def exit_code_of(error: WagtailstepError) -> int:
-    """Return the exit code that an error stands for."""
+    """Return the exit code for an error."""
     return next(
         code for error_type, code in _EXIT_CODES if isinstance(error, error_type)
     )
 
 
 def print_error(message: str) -> None:
-    """Print one line to standard error."""
+    """Print a message as one line to standard error."""
     line = " ".join(message.split())
     print(f"error: {line}", file=sys.stderr)
 
 
 def run_program(commands: dict[str, Command] | Command, name: str) -> int:
-    """Run the command that the arguments of the process name.
+    """Run the command selected by the command-line arguments.
 
     A command returns its exit code, or ``None`` for success. It raises a
-    :class:`WagtailstepError` for what the operator can mend.
+    :class:`WagtailstepError` for problems that the operator can fix.
 
-    :param commands: a function, or functions by the names of the commands.
+    :param commands: a function, or a mapping from command names to functions.
     :param name: name of the program.
-    :return: the exit code; 2 for a wrong argument, and then nothing was run.
+    :return: the exit code; 2 for an invalid argument, in which case nothing was run.
     """
     try:
         deferred_call = _parse_arguments(commands, name)
@@ -66,13 +66,13 @@
 def _parse_arguments(
     commands: dict[str, Command] | Command, name: str
 ) -> Callable[[], int | None]:
-    """Let Fire choose and bind the command, without running it yet.
+    """Let Fire select the command and bind its arguments, without running it.
 
-    Fire calls a function before it complains about arguments that it could not
-    use, so the functions that it sees only keep their arguments.
+    Fire calls a function before it reports arguments that it could not use, so it
+    gets wrappers that only store their arguments.
 
-    :raises SettingsError: if an argument is wrong.
-    :raises FireExit: after the help text was shown.
+    :raises SettingsError: if an argument is invalid.
+    :raises FireExit: after the help text was printed.
     """
     deferred_calls: list[Callable[[], int | None]] = []
     help_output = io.StringIO()
@@ -113,7 +113,7 @@
 def _defer_command(
     command: Command, deferred_calls: list[Callable[[], int | None]]
 ) -> Callable[..., None]:
-    # Fire reads the signature and the doc comment through the wrapper.
+    # ``wraps`` keeps the signature and doc comment, which Fire reads.
     @functools.wraps(command)
     def defer_call(*args: Any, **kwargs: Any) -> None:
         deferred_calls.append(functools.partial(command, *args, **kwargs))
--- a/src/wagtailstep/cli/status_codes.py
+++ b/src/wagtailstep/cli/status_codes.py
@@ -1,11 +1,11 @@
 """Exit codes of all programs.
 
-:data SUCCESS: the command did what it was asked.
-:data ERROR: the command failed and changed nothing that lasts.
-:data USAGE: an argument or a setting is wrong; nothing was started.
-:data REFUSED: an edit of the table was refused; the table is unchanged.
-:data UNKNOWN: an edit may have been accepted; ``outcome`` tells later.
-:data PARTIAL: some daemons could not be reached; the output names them.
+:data SUCCESS: the command completed.
+:data ERROR: the command failed without a persistent change.
+:data USAGE: an argument or a setting is invalid; nothing was started.
+:data REFUSED: an edit of the table was rejected; the table is unchanged.
+:data UNKNOWN: an edit may have been accepted; check later with ``outcome``.
+:data PARTIAL: some daemons could not be reached; the output lists them.
 """
 
 SUCCESS = 0
--- a/src/wagtailstep/cli/table.py
+++ b/src/wagtailstep/cli/table.py
@@ -1,4 +1,4 @@
-"""The program ``wagtailstep-table``: operators edit the table with it."""
+"""The program ``wagtailstep-table`` to inspect and edit the table."""
 
 import asyncio
 import pathlib
@@ -50,9 +50,9 @@
 ) -> None:
     """Show the table, or some rows of it.
 
-    :param kind: service, backend_server, route or account; all if empty.
-    :param prefix: only rows whose keys begin so.
-    :param version: an older version that the log still knows.
+    :param kind: service, backend_server, route or account; all kinds if empty.
+    :param prefix: show only rows whose keys start with this.
+    :param version: an older version that can still be read from the log.
     :param log: ``host:port`` of the log service.
     """
 
@@ -67,8 +67,8 @@
 def export(path: str = "-", *, version: int | None = None, log: str = "") -> None:
     """Write the table as a CSV file for a spreadsheet program.
 
-    :param path: the file; ``-`` for standard output.
-    :param version: an older version that the log still knows.
+    :param path: path of the file; ``-`` for standard output.
+    :param version: an older version that can still be read from the log.
     :param log: ``host:port`` of the log service.
     """
     table_version = None if version is None else check_number("version", version, 0)
@@ -97,12 +97,12 @@
 
     :param kind: service, backend_server, route or account.
     :param key: key of the row.
-    :param reason: why, for the history.
-    :param author: who; your login name if empty.
+    :param reason: reason of the change, recorded in the history.
+    :param author: author of the change; your login name if empty.
     :param remove: remove the row.
-    :param dry_run: show the effect and change nothing.
+    :param dry_run: print the effect without changing anything.
     :param log: ``host:port`` of the log service.
-    :param columns: the columns to change, by their names.
+    :param columns: new values by column name.
     """
 
     async def submit_change() -> Iterable[str]:
@@ -119,7 +119,7 @@
 
 
 def diff(path: str, *, log: str = "") -> None:
-    """Show what a file changes against the version that it was exported from.
+    """Show the differences between a file and the version it was exported from.
 
     :param path: the CSV file.
     :param log: ``host:port`` of the log service.
@@ -136,13 +136,13 @@
     dry_run: bool = False,
     log: str = "",
 ) -> None:
-    """Apply the changes made to an exported file, and only those.
+    """Apply only the changes made to a file since it was exported.
 
     :param path: the CSV file.
-    :param reason: why, for the history.
-    :param author: who; your login name if empty.
-    :param remove: remove the rows that the file lacks.
-    :param dry_run: show the effect and change nothing.
+    :param reason: reason of the change, recorded in the history.
+    :param author: author of the change; your login name if empty.
+    :param remove: remove rows that are missing from the file.
+    :param dry_run: print the effect without changing anything.
     :param log: ``host:port`` of the log service.
     """
     _apply_file(path, build_proposal(author, reason), remove, dry_run, log)
@@ -170,13 +170,13 @@
     dry_run: bool = False,
     log: str = "",
 ) -> None:
-    """Make the newest table equal to a file, whatever version it came from.
+    """Make the newest table equal to a file, whichever version it was exported from.
 
     :param path: the CSV file.
-    :param reason: why, for the history.
-    :param author: who; your login name if empty.
-    :param remove: remove the rows that the file lacks.
-    :param dry_run: show the effect and change nothing.
+    :param reason: reason of the change, recorded in the history.
+    :param author: author of the change; your login name if empty.
+    :param remove: remove rows that are missing from the file.
+    :param dry_run: print the effect without changing anything.
     :param log: ``host:port`` of the log service.
     """
 
@@ -199,12 +199,12 @@
     dry_run: bool = False,
     log: str = "",
 ) -> None:
-    """Make a new version with the rows of an older one.
+    """Create a new version with the rows of an older version.
 
     :param version: the older version.
-    :param reason: why, for the history.
-    :param author: who; your login name if empty.
-    :param dry_run: show the effect and change nothing.
+    :param reason: reason of the change, recorded in the history.
+    :param author: author of the change; your login name if empty.
+    :param dry_run: print the effect without changing anything.
     :param log: ``host:port`` of the log service.
     """
 
@@ -222,10 +222,10 @@
 
 
 def history(row: str = "", *, limit: int = 20, log: str = "") -> None:
-    """Show who changed the table, when and why, newest first.
+    """Show author, time and reason of past edits, newest first.
 
-    :param row: only edits of rows whose names hold this text.
-    :param limit: at most so many edits.
+    :param row: show only edits of rows whose names contain this text.
+    :param limit: maximum number of edits.
     :param log: ``host:port`` of the log service.
     """
 
@@ -237,9 +237,9 @@
 
 
 def outcome(edit_id: str, *, log: str = "") -> None:
-    """Tell what became of an edit.
+    """Show whether an edit was accepted or rejected.
 
-    :param edit_id: its identifier.
+    :param edit_id: identifier of the edit.
     :param log: ``host:port`` of the log service.
     """
 
@@ -248,8 +248,8 @@
         found = fold.outcome_of(str(edit_id))
         if found is None:
             raise AppendUnknownError(
-                f"edit {edit_id} is not in the log; it may still arrive if its "
-                f"program ended less than a minute ago"
+                f"edit {edit_id} is not in the log; it may still be appended if the "
+                f"program that submitted it ended less than a minute ago"
             )
         check_outcome(found)
         return [f"accepted edit={edit_id} version={found.version}"]
@@ -258,10 +258,10 @@
 
 
 def status(*addresses: str, log: str = "") -> int:
-    """Show the version in force at daemons, which are behind and since when.
+    """Show each daemon's table version, and which daemons are behind since when.
 
-    Exit codes: 0 all daemons answered, 2 an argument is wrong, 5 some daemons could
-    not be reached; the output names them.
+    Exit codes: 0 all daemons answered, 2 an argument is invalid, 5 some daemons
+    could not be reached; the output lists them.
 
     :param addresses: caller address, ``host:port``, of each daemon.
     :param log: ``host:port`` of the log service.
@@ -285,11 +285,11 @@
     run_time_s: float = 3_600.0,
     log: str = "",
 ) -> None:
-    """Show new edits as they are accepted, and where they are in force.
+    """Show new edits as they are accepted, and how many daemons apply them.
 
     :param addresses: caller address, ``host:port``, of each daemon.
-    :param interval_s: seconds between two looks.
-    :param run_time_s: seconds after which the program ends.
+    :param interval_s: polling interval in seconds.
+    :param run_time_s: seconds after which the program exits.
     :param log: ``host:port`` of the log service.
     """
     daemon_addresses = check_addresses(addresses)
@@ -314,14 +314,15 @@
     author: str = "",
     log: str = "",
 ) -> None:
-    """Bring back a table that the log and all daemons have lost.
+    """Restore a table that the log and all daemons have lost.
 
     :param path: the newest exported CSV file.
-    :param addresses: caller address, ``host:port``, of each daemon; none of them
-        may have a table.
-    :param version: version of the restored table, above any that was in force.
-    :param reason: why, for the history.
-    :param author: who; your login name if empty.
+    :param addresses: caller address, ``host:port``, of each daemon; none of
+        them may have a table.
+    :param version: version of the restored table; higher than any version that was in
+        force.
+    :param reason: reason of the change, recorded in the history.
+    :param author: author of the change; your login name if empty.
     :param log: ``host:port`` of the log service.
     """
     daemon_addresses = check_addresses(addresses)
--- a/src/wagtailstep/cli/table_arguments.py
+++ b/src/wagtailstep/cli/table_arguments.py
@@ -1,4 +1,4 @@
-"""Arguments of the operators' program, checked."""
+"""Validation of the arguments of ``wagtailstep-table``."""
 
 import getpass
 import os
@@ -20,10 +20,10 @@
 
 
 def create_table_client(log: str) -> TableClient:
-    """Return a client of the table in the log.
+    """Return a client that reads and edits the table in the log.
 
-    :param log: ``host:port``; the environment's if empty.
-    :raises SettingsError: if it is missing or malformed.
+    :param log: ``host:port``; if empty, the environment variable is used.
+    :raises SettingsError: if the address is missing or malformed.
     """
     address = log or os.environ.get(LOG_VARIABLE, "")
     if not address:
@@ -34,12 +34,14 @@
 
 
 def build_proposal(author: str, reason: str) -> Proposal:
-    """Return who proposes an edit, and why.
+    """Return the author and the reason of an edit.
 
     :raises SettingsError: if the reason is empty.
     """
     if not str(reason).strip():
-        raise SettingsError("--reason is missing: say why, for the history")
+        raise SettingsError(
+            "--reason is missing: give the reason of the change for the history"
+        )
     return Proposal(str(author or getpass.getuser()), str(reason))
 
 
@@ -55,9 +57,9 @@
 
 
 def check_number(name: str, value: Any, lowest: int) -> int:
-    """Return a whole number of at least ``lowest``.
+    """Return ``value`` if it is a whole number of at least ``lowest``.
 
-    :raises SettingsError: if it is something else.
+    :raises SettingsError: otherwise.
     """
     if not isinstance(value, int) or value < lowest:
         raise SettingsError(
@@ -68,14 +70,14 @@
 
 
 def create_daemon_client() -> DaemonClient:
-    """Return what asks daemons for their status."""
+    """Return a client that fetches the status of daemons."""
     return DaemonClient(HttpClient(RequestSettings(), LoopClock()))
 
 
 def check_addresses(addresses: tuple[str, ...]) -> tuple[str, ...]:
-    """Return addresses of daemons.
+    """Return the addresses of daemons as strings.
 
-    :raises SettingsError: if there is none, or one is malformed.
+    :raises SettingsError: if no address is given or one is malformed.
     """
     if not addresses:
         raise SettingsError("no daemon was named; give addresses as host:port")
@@ -85,9 +87,9 @@
 
 
 def check_seconds(name: str, value: Any) -> float:
-    """Return a number of seconds above 0.
+    """Return ``value`` if it is a number of seconds above 0.
 
-    :raises SettingsError: if it is something else.
+    :raises SettingsError: otherwise.
     """
     if not isinstance(value, int | float) or value <= 0:
         raise SettingsError(f"--{name}={value!r} is not allowed, allowed is above 0")
--- a/src/wagtailstep/cli/timeline.py
+++ b/src/wagtailstep/cli/timeline.py
@@ -34,10 +34,10 @@
 
 
 def show(*addresses: str, format: str = "text", output: str = "") -> int:
-    """Gather the events of daemons and write them as one time line.
+    """Fetch the events of daemons and write them as one timeline.
 
-    Exit codes: 0 all daemons answered, 2 an argument is wrong, 5 some daemons could
-    not be reached; the output names them.
+    Exit codes: 0 all daemons answered, 2 an argument is invalid, 5 some daemons
+    could not be reached; the output lists them.
 
     :param addresses: caller address, host:port, of each daemon.
     :param format: text, or chrome for Chrome trace-event JSON.
@@ -54,21 +54,21 @@
 
 
 def explain(request_id: str, *files: str) -> int:
-    """Tell the story of one request from the logs of all daemons.
+    """Reconstruct one request from the logs of all daemons and explain its outcome.
 
     :param request_id: identifier of the request, as in its ``request_id`` fields.
-    :param files: logs; where a line doesn't name its daemon the file's name does.
+    :param files: log files; for lines that don't name their daemon, the file name does.
     """
     print(format_explanation(explain_request(read_logs(files), str(request_id))))
     return status_codes.SUCCESS
 
 
 def causes(*files: str, since: str = "", until: str = "") -> int:
-    """Count the causes of all requests that failed, from the logs of all daemons.
+    """Count failed requests by cause, from the logs of all daemons.
 
-    :param files: logs, as for ``explain``.
-    :param since: only requests with lines from this time on, as the lines write it.
-    :param until: only those with lines up to this time.
+    :param files: log files, as for ``explain``.
+    :param since: ignore log lines before this time, given in the format of the lines.
+    :param until: ignore log lines after this time.
     """
     lines = read_logs(files)
     if since:
@@ -80,11 +80,11 @@
 
 
 def around(time: str, *files: str, span_s: float = 2.0) -> int:
-    """Tell what the fleet believed at a moment, and what changed around it.
+    """Show what the daemons believed at a given time, and nearby changes.
 
-    :param time: the moment, as the lines write it.
-    :param files: logs, as for ``explain``.
-    :param span_s: seconds before and after whose changes are told.
+    :param time: the time, in the format of the log lines.
+    :param files: log files, as for ``explain``.
+    :param span_s: seconds before and after the time in which changes are shown.
     """
     moment = read_time(time)
     beliefs = compute_fleet_beliefs(read_logs(files), moment, timedelta(seconds=span_s))
@@ -93,9 +93,9 @@
 
 
 def read_time(text: str) -> datetime:
-    """Read a time as log lines write it.
+    """Parse a time in the format of the log lines.
 
-    :raises SettingsError: if it is none.
+    :raises SettingsError: if it is malformed.
     """
     try:
         return datetime.fromisoformat(str(text))
@@ -107,7 +107,7 @@
 def read_logs(files: tuple[str, ...]) -> list[LogLine]:
     """Read log files.
 
-    :raises SettingsError: if none is named or one can't be read.
+    :raises SettingsError: if no file is given or one can't be read.
     """
     if not files:
         raise SettingsError("no log was named; give the files of all daemons")
@@ -123,9 +123,9 @@
 
 
 def check_arguments(addresses: tuple[str, ...], format: str) -> None:
-    """Refuse arguments that can't be used.
+    """Validate the arguments of ``show``.
 
-    :raises SettingsError: if an argument is wrong.
+    :raises SettingsError: if an argument is invalid.
     """
     if format not in FORMATS:
         allowed = " or ".join(FORMATS)
@@ -139,7 +139,7 @@
 
 
 async def gather_events(addresses: tuple[str, ...]) -> MergedTimeline:
-    """Ask all daemons."""
+    """Fetch and merge the events of all daemons."""
     client = HttpClient(RequestSettings(), LoopClock())
     return await gather_timeline(DaemonClient(client), addresses)
 
--- a/src/wagtailstep/commands/explain_request.py
+++ b/src/wagtailstep/commands/explain_request.py
@@ -1,4 +1,4 @@
-"""The story of one request, told from the logs of all daemons."""
+"""Explanation of one request's outcome, reconstructed from the logs of all daemons."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -17,16 +17,17 @@
 MILLISECOND = timedelta(milliseconds=1)
 END_EVENTS = ("request-ended", "request-unanswered")
 SERVED_OUTCOME = "status-200"
-# Ends that no failure of a backend server explains, even if there was one before.
+# Outcomes that are never attributed to a backend server, even if an earlier attempt
+# failed there.
 OUTCOMES_NOT_CAUSED_BY_WORK = frozenset({"overloaded", "doubted", "caller-left"})
 
 
 @attrs.frozen
 class Belief:
-    """What a daemon held to be so when a request ended.
+    """What a daemon believed when a request ended.
 
-    :param line: the event by which it came to hold it.
-    :param age: how long before the end of the request that was.
+    :param line: the log line of the event that established the belief.
+    :param age: time from that event to the end of the request.
     """
 
     line: LogLine
@@ -35,12 +36,12 @@
 
 @attrs.frozen
 class RequestExplanation:
-    """What the logs tell of one request.
+    """What the logs show about one request.
 
     :param request_id: identifier of the request.
-    :param lines: its events, and those of the calls made for it, in causal order.
-    :param beliefs: what its daemons believed then.
-    :param cause: why it failed, or that it was served.
+    :param lines: events of the request and of its nested calls, in causal order.
+    :param beliefs: what the daemons involved believed when it ended.
+    :param cause: why it failed, or ``served``.
     """
 
     request_id: str
@@ -50,9 +51,9 @@
 
 
 def explain_request(lines: Sequence[LogLine], request_id: str) -> RequestExplanation:
-    """Tell the story of a request and name its cause.
+    """Reconstruct a request from log lines and determine the cause of its outcome.
 
-    :param lines: lines of all daemons, those of one daemon in its order.
+    :param lines: lines of all daemons; those of one daemon in their logged order.
     """
     request_lines = [line for line in lines if is_part_of(line, request_id)]
     ordered = sort_lines(request_lines)
@@ -60,20 +61,20 @@
     beliefs = select_relevant_beliefs(lines, ordered, end) if end is not None else []
     cause = determine_cause(ordered, beliefs, request_id)
     if not request_lines and (dropped := count_dropped_lines(lines)):
-        cause += f"; {dropped} lines were dropped, as their reader was slow"
+        cause += f"; {dropped} log lines were dropped because their reader was too slow"
     return RequestExplanation(request_id, ordered, beliefs, cause)
 
 
 def is_part_of(line: LogLine, request_id: str) -> bool:
-    """Tell whether a line belongs to a request or to a call made for it."""
+    """Return whether a line belongs to a request or one of its nested calls."""
     found = line.request_id
     return found == request_id or found.startswith(f"{request_id}.")
 
 
 def sort_lines(lines: Sequence[LogLine]) -> list[LogLine]:
-    """Sort by time, but the end of a request after everything done for it.
+    """Sort by time, but place the end of a request after all of its other events.
 
-    Clocks of daemons differ by a few milliseconds, which is as much as a hop takes.
+    Clock skew between daemons is a few milliseconds, as long as a network hop takes.
     """
     latest: dict[str, datetime] = {}
     for line in lines:
@@ -89,14 +90,14 @@
 
 
 def find_ancestors(request_id: str) -> Iterable[str]:
-    """Yield a request and those for which it is a call, the innermost first."""
+    """Yield a request and the requests it is nested in, innermost first."""
     while request_id:
         yield request_id
         request_id, _, _ = request_id.rpartition(".")
 
 
 def find_end_event(lines: Sequence[LogLine], request_id: str) -> LogLine | None:
-    """Return the event that says how a request ended at its entry."""
+    """Return the event with the outcome of a request at its entry."""
     ends = [
         line
         for line in lines
@@ -109,7 +110,7 @@
 def select_relevant_beliefs(
     lines: Sequence[LogLine], trace_lines: Sequence[LogLine], end: LogLine
 ) -> list[Belief]:
-    """Return what the entry, and the gates it asked, believed when a request ended."""
+    """Return what the entry and the gates it tried believed when a request ended."""
     tried = set(end.get("tried").split(",")) - {""}
     gates = {line.process for line in trace_lines if line.event == "work-ended"}
 
@@ -130,7 +131,7 @@
 def determine_cause(
     lines: Sequence[LogLine], beliefs: Sequence[Belief], request_id: str
 ) -> str:
-    """Name the cause of a request's end in a few words."""
+    """Describe the cause of a request's outcome in a few words."""
     end = find_end_event(lines, request_id)
     if end is None:
         return determine_cause_without_end(lines)
@@ -148,16 +149,16 @@
 
 
 def determine_cause_without_end(lines: Sequence[LogLine]) -> str:
-    """Name the cause where no entry says how a request ended."""
+    """Describe the cause if no entry logged the end of a request."""
     if any(line.event == "work-ended" for line in lines):
-        return "its entry ended or was cut off before it had an answer"
+        return "its entry stopped or was partitioned before it had a response"
     if lines:
-        return "its entry told no end; it was stopped or its lines are missing"
-    return "no daemon has a line of it"
+        return "its entry logged no end; it was stopped or its lines are missing"
+    return "no daemon logged a line for it"
 
 
 def find_first_failed_call(lines: Sequence[LogLine], request_id: str) -> LogLine | None:
-    """Return the end of the first call for a request that was not served."""
+    """Return the end event of the first nested call that was not served."""
     calls = [
         line
         for line in lines
@@ -167,7 +168,7 @@
 
 
 def find_last_failed_work(lines: Sequence[LogLine], request_id: str) -> LogLine | None:
-    """Return the last work for a request that a backend server didn't do well."""
+    """Return the event of the last failed work for a request."""
     ended = [
         line
         for line in lines
@@ -178,17 +179,18 @@
 
 
 def describe_work(work: LogLine, beliefs: Sequence[Belief]) -> str:
-    """Say what went wrong at a backend server and what its gate had thought of it."""
+    """Describe a backend server's failure and the standing it had before."""
     target = work.get("target")
     verbs = {
         "failed": f"failed the work with {work.get('status')}",
-        "broken": "broke off the connection",
+        "broken": "closed the connection before its response was complete",
         "late": "did not answer in time",
         "unreachable": "could not be reached",
-        "turned-away": "said that it is full",
+        "turned-away": "rejected the work because it was full",
     }
     verb = verbs.get(work.get("result"), f"ended the work as {work.get('result')}")
-    # The gate's judgement follows the failure; the one before it is what counted.
+    # The gate updates the standing after the failure; the routing decision was based on
+    # the one before.
     standings = [
         belief.line.get("standing")
         for belief in beliefs
@@ -196,41 +198,45 @@
         and belief.line.get("target") == target
         and belief.line.time < work.time
     ]
-    return f"target {target} {verb}, believed {standings[-1] if standings else 'good'} before"
+    return (
+        f"target {target} {verb}, "
+        f"believed {standings[-1] if standings else 'good'} before"
+    )
 
 
 def describe_end(end: LogLine, outcome: str) -> str:
-    """Say why an entry ended a request without work that failed."""
+    """Describe why an entry ended a request for which no work failed."""
     if outcome == "overloaded":
         asked = end.get("gates_full") or "some"
-        return f"no room: {asked} gates asked had no slot in time"
+        return f"overloaded: {asked} gates tried had no free slot in time"
     texts = {
         "no-target": "no target of the service was known",
-        "no-route": "no route matches it",
-        "not-ready": "the daemon knew no table yet",
-        "leaving": "the targets asked were leaving",
-        "doubted": "the targets asked had failed just before",
-        "deadline-exceeded": "its time had passed, and no gate tells of work for it",
-        "connection-failed": "the connection to a gate was lost, and no gate tells of "
+        "no-route": "no route matches the request",
+        "not-ready": "the daemon had not received a table yet",
+        "leaving": "the targets tried were leaving",
+        "doubted": "the targets tried had failed just before",
+        "deadline-exceeded": "its deadline passed, and no gate logged work for it",
+        "connection-failed": "the connection to a gate was lost, and no gate logged "
         "work for it",
-        "bad-request": "the request was malformed or cut by its caller",
-        "duplicate": "a gate had accepted the same sending before",
-        "caller-left": "the caller went away",
-        "attempt-abandoned": "an attempt took too long and no other was possible",
+        "bad-request": "the request was malformed or truncated by its caller",
+        "duplicate": "a gate had already accepted this transmission",
+        "caller-left": "the caller disconnected",
+        "attempt-abandoned": "an attempt timed out and no further attempt was possible",
     }
     return texts.get(outcome, f"ended as {outcome}")
 
 
 def count_dropped_lines(lines: Iterable[LogLine]) -> int:
-    """Return how many lines the daemons say they dropped."""
+    """Return how many log lines the daemons report as dropped."""
     reports = (line for line in lines if line.event == "lines-left-out")
     return sum(int(line.get("dropped") or 0) for line in reports)
 
 
 def count_causes(lines: Sequence[LogLine]) -> Counter[str]:
-    """Count the causes of all callers' requests that failed.
+    """Count the causes of all failed requests of callers.
 
-    Names of targets are left out, so that alike causes count together.
+    Names of targets are replaced by their service, so that similar causes are counted
+    together.
     """
     lines_by_caller_request: dict[str, list[LogLine]] = {}
     for line in lines:
@@ -250,14 +256,14 @@
 
 
 def replace_target_names(cause: str, lines: Iterable[LogLine]) -> str:
-    """Replace the names of targets in a cause by that of their service."""
+    """Replace target names in a cause by the name of their service."""
     for target in {line.get("target") for line in lines} - {""}:
         cause = cause.replace(target, f"of {target.partition('/')[0]}")
     return cause.partition(", believed")[0]
 
 
 def format_explanation(explanation: RequestExplanation) -> str:
-    """Write a story as text."""
+    """Format an explanation as text."""
     output_lines = [f"request {explanation.request_id}: {explanation.cause}"]
     start = explanation.lines[0].time if explanation.lines else None
     for line in explanation.lines:
@@ -277,7 +283,7 @@
 
 
 def format_causes(causes: Counter[str]) -> str:
-    """Write causes with their counts, the most frequent first."""
+    """Format causes with their counts, most frequent first."""
     if not causes:
         return "no request failed"
     return "\n".join(f"{count:6d}  {cause}" for cause, count in causes.most_common())
--- a/src/wagtailstep/commands/fleet_beliefs.py
+++ b/src/wagtailstep/commands/fleet_beliefs.py
@@ -1,4 +1,4 @@
-"""What the daemons of a fleet believed at a moment, told from their logs."""
+"""What the daemons of a fleet believed at a given time, according to their logs."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -8,7 +8,7 @@
 
 from wagtailstep.models.log_lines import LogLine, format_line
 
-# Events that tell of a changed belief, in the log of the daemon that holds it.
+# Events that a daemon logs when its own belief changes.
 STANDING_EVENT = "target-standing"
 PATH_EVENT = "path-avoided"
 TABLE_EVENT = "table-in-force"
@@ -17,7 +17,8 @@
 BELIEF_EVENTS = frozenset(
     {STANDING_EVENT, PATH_EVENT, TABLE_EVENT, STORE_EVENT, MEMBER_EVENT}
 )
-# The field that names what a belief is about; others are about the daemon itself.
+# The field that names the subject of a belief; the other events are about the daemon
+# itself.
 SUBJECT_FIELDS = {
     STANDING_EVENT: "target",
     PATH_EVENT: "target",
@@ -28,13 +29,14 @@
 
 @attrs.frozen
 class FleetBeliefs:
-    """What was believed at a moment, and what changed around it.
-
-    :param tables: daemons by the version of the table in force.
-    :param standings: targets that their gates doubted, with the standing.
-    :param members: members that were not alive, with how many daemons thought so.
-    :param without_store: daemons that did not reach the store.
-    :param changes: changes of beliefs, starts and ends of daemons, near the moment.
+    """What the daemons believed at a given time, and the changes around it.
+
+    :param tables: number of daemons by the version of the table in force.
+    :param standings: standing of each target that its gate doubted or saw failing.
+    :param members: number of daemons by the member and state that they saw, for
+        members that were not alive.
+    :param without_store: daemons that could not reach the store.
+    :param changes: changed beliefs, and starts and stops of daemons, near that time.
     """
 
     tables: Counter[str]
@@ -45,16 +47,16 @@
 
 
 def find_beliefs_at(lines: Sequence[LogLine], at: datetime) -> list[LogLine]:
-    """Return the events by which daemons came to hold what they believed at a moment.
+    """Return the events that established what daemons believed at a given time.
 
-    :param lines: lines of all daemons, those of one daemon in its order.
+    :param lines: lines of all daemons; those of one daemon in their logged order.
     """
     newest: dict[tuple[str, str, str], LogLine] = {}
     for line in lines:
         if line.time > at:
             continue
         if line.event == "daemon-started":
-            # A new process knows nothing of what the one before believed.
+            # A restarted daemon doesn't keep the beliefs of its previous process.
             newest = {k: v for k, v in newest.items() if k[1] != line.process}
         elif line.event in BELIEF_EVENTS:
             subject = line.get(SUBJECT_FIELDS.get(line.event, ""))
@@ -65,10 +67,10 @@
 def compute_fleet_beliefs(
     lines: Sequence[LogLine], at: datetime, span: timedelta
 ) -> FleetBeliefs:
-    """Return what was believed at a moment.
+    """Return what the daemons believed at a given time.
 
-    :param lines: lines of all daemons, those of one daemon in its order.
-    :param span: changes within this time before and after are told.
+    :param lines: lines of all daemons; those of one daemon in their logged order.
+    :param span: changes within this time before and after are included.
     """
     held = find_beliefs_at(lines, at)
     members = Counter(
@@ -105,7 +107,7 @@
 
 
 def format_fleet_beliefs(beliefs: FleetBeliefs, at: datetime) -> str:
-    """Write beliefs as text."""
+    """Format beliefs as text."""
     output_lines = [
         f"table version {v}: {n} daemons" for v, n in beliefs.tables.items()
     ]
--- a/src/wagtailstep/commands/merge_timeline.py
+++ b/src/wagtailstep/commands/merge_timeline.py
@@ -1,4 +1,4 @@
-"""Gathering the events of all daemons and writing them as one time line."""
+"""Merges the events of all daemons into one timeline and formats it."""
 
 import asyncio
 from collections.abc import Sequence
@@ -15,22 +15,22 @@
 
 
 class EventSource(Protocol):
-    """Fetch the events that one daemon keeps in memory."""
+    """Fetches the events that a daemon keeps in memory."""
 
     async def fetch(self, address: str) -> list[TimelineEvent]:
         """Return the events of the daemon at an address.
 
         :param address: ``host:port`` of its caller address.
-        :raises RequestError: if it did not answer.
+        :raises RequestError: if it did not respond.
         """
 
 
 async def gather_timeline(
     source: EventSource, addresses: Sequence[str]
 ) -> MergedTimeline:
-    """Ask all daemons at once and merge their events.
+    """Fetch the events of all daemons concurrently and merge them.
 
-    :param source: how to ask one daemon.
+    :param source: fetches the events of one daemon.
     :param addresses: ``host:port`` of each daemon's caller address.
     """
     merged = MergedTimeline()
@@ -47,7 +47,7 @@
 
 
 def format_text(merged: MergedTimeline) -> str:
-    """Write a time line as one line of text for each event."""
+    """Format a timeline as text, one line per event."""
     lines = [format_event(event) for event in merged.events]
     for address, reason in sorted(merged.unreachable.items()):
         lines.append(format_fields({"unreachable": address, "reason": reason}))
@@ -55,7 +55,7 @@
 
 
 def format_event(event: TimelineEvent) -> str:
-    """Write one event as a line of key=value pairs."""
+    """Format one event as a line of key=value pairs."""
     fields = {
         "lamport": event.lamport,
         "utc": event.utc.isoformat(timespec="milliseconds"),
@@ -66,10 +66,10 @@
 
 
 def format_chrome_trace(merged: MergedTimeline) -> str:
-    """Write a time line as Chrome trace-event JSON.
+    """Format a timeline as Chrome trace-event JSON.
 
-    Each daemon is a process of the trace; an event is an instant. The unreachable
-    daemons are listed under ``otherData``.
+    Each daemon is a process of the trace, and each event an instant event. Daemons
+    that could not be reached are listed under ``otherData``.
     """
     daemons = sorted({event.daemon_id for event in merged.events})
     numbers = {daemon_id: index + 1 for index, daemon_id in enumerate(daemons)}
--- a/src/wagtailstep/commands/read_settings.py
+++ b/src/wagtailstep/commands/read_settings.py
@@ -1,4 +1,4 @@
-"""Reading settings from JSON files into attrs classes, with checks."""
+"""Reads settings from JSON files into attrs classes and validates them."""
 
 import json
 import pathlib
@@ -31,7 +31,7 @@
 
 
 def create_converter() -> cattrs.Converter:
-    """Return a converter that refuses unknown keys and converts no types."""
+    """Return a converter that rejects unknown keys and values of the wrong type."""
     converter = cattrs.Converter(forbid_extra_keys=True)
     for value_type in _TYPE_NAMES:
         converter.register_structure_hook(value_type, _reject_wrong_type)
@@ -43,16 +43,16 @@
 
     :param path: path of a JSON file.
     :param cls: attrs class of the settings.
-    :raises SettingsError: if the file can't be read, is not JSON, or a key or value
-        is not allowed; the message is one line and names the key.
+    :raises SettingsError: if the file can't be read, is not valid JSON or has a key or
+        value that is not allowed; the message is one line and names the key.
     """
     return structure_settings(read_json(path), cls, path)
 
 
 def read_settings_list(path: str, cls: type[_T]) -> list[_T]:
-    """Read one file with a list of settings.
+    """Read a file that holds a list of settings.
 
-    :raises SettingsError: as :func:`read_settings`.
+    :raises SettingsError: see :func:`read_settings`.
     """
     raw = read_json(path)
     if not isinstance(raw, list):
@@ -77,11 +77,11 @@
 
 
 def structure_settings(raw: Any, cls: type[_T], source: str) -> _T:
-    """Turn decoded JSON into settings.
+    """Convert decoded JSON to settings.
 
     :param raw: decoded JSON.
-    :param source: name of where it came from, for messages.
-    :raises SettingsError: as :func:`read_settings`.
+    :param source: name of its origin, for error messages.
+    :raises SettingsError: see :func:`read_settings`.
     """
     if not isinstance(raw, dict):
         raise SettingsError(f"{source}: must be a JSON object, not {raw!r}")
@@ -92,7 +92,7 @@
 
 
 def drop_comments(raw: Any) -> Any:
-    """Return decoded JSON without the keys that begin with ``//``."""
+    """Return decoded JSON without comments, which are keys that start with ``//``."""
     if not isinstance(raw, dict):
         return raw
     return {
@@ -103,9 +103,9 @@
 
 
 def explain(error: BaseException, key: str = "") -> list[str]:
-    """Flatten a tree of errors into one line for each wrong key.
+    """Flatten a tree of errors into one line per invalid key.
 
-    :param error: an error, perhaps an exception group.
+    :param error: an error or exception group.
     :param key: dotted name of the key that the error belongs to.
     """
     if isinstance(error, BaseExceptionGroup):
--- a/src/wagtailstep/commands/reload_settings.py
+++ b/src/wagtailstep/commands/reload_settings.py
@@ -1,4 +1,4 @@
-"""Taking what changes in the settings file while the daemon runs."""
+"""Applies changes of the settings file while the daemon runs."""
 
 import asyncio
 import logging
@@ -11,18 +11,18 @@
 from wagtailstep.utils.logging import log_event
 
 LOGGER = logging.getLogger(__name__)
-# A file may change without a signal; reading it takes about a millisecond.
+# The file may change without a signal. Reading it takes about 1 ms.
 FILE_CHECK_INTERVAL_S = 5.0
 
 
 class SettingsReloader:
-    """Read the settings again after a signal, and now and then without one.
+    """Reload the settings after a signal, and periodically without one.
 
-    The log level is taken at once. Any other change needs a restart, which the log
-    says; a file that is wrong changes nothing.
+    A changed log level is applied at once. Any other change needs a restart, which is
+    logged. An invalid file changes nothing.
 
     :param settings: the settings that the daemon was started with.
-    :param reread_settings: reads the file.
+    :param reread_settings: reads the settings file.
     """
 
     def __init__(
@@ -33,30 +33,30 @@
         self.newest_settings: DaemonSettings | str = settings
 
     def reload(self) -> None:
-        """Read the file and log what it means, as a signal asks for."""
+        """Read the file, apply it and log the result, even if it is unchanged."""
         self.apply(self.read_settings_or_error())
 
     def reload_if_changed(self) -> None:
-        """Read the file and take it if it is not as it was."""
+        """Read the file and apply it if it has changed since the last read."""
         newest_settings = self.read_settings_or_error()
         if newest_settings != self.newest_settings:
             self.apply(newest_settings)
 
     async def watch(self) -> None:
-        """Check the file until cancelled."""
+        """Check the file for changes periodically until cancelled."""
         while True:
             await asyncio.sleep(FILE_CHECK_INTERVAL_S)
             self.reload_if_changed()
 
     def read_settings_or_error(self) -> DaemonSettings | str:
-        """Return the settings in the file, or why there are none."""
+        """Return the settings in the file, or the error message if it is invalid."""
         try:
             return self.reread_settings()
         except SettingsError as error:
             return str(error)
 
     def apply(self, newest_settings: DaemonSettings | str) -> None:
-        """Take settings, or log what is wrong with them."""
+        """Apply settings, or log the error if the file was invalid."""
         self.newest_settings = newest_settings
         if isinstance(newest_settings, str):
             log_event(
--- a/src/wagtailstep/commands/report_load.py
+++ b/src/wagtailstep/commands/report_load.py
@@ -1,4 +1,4 @@
-"""Reports of a load, as text and as a picture."""
+"""Load test reports as text and as charts."""
 
 import pathlib
 from collections.abc import Sequence
@@ -20,7 +20,7 @@
 
 
 def format_results(sides: Sequence[SideResult]) -> str:
-    """Write the results of a load as a table, and a comparison of two sides."""
+    """Format the results of a load as a table; compare the sides if there are two."""
     lines = [HEADER]
     for side in sides:
         totals = side.total()
@@ -32,7 +32,7 @@
 
 
 def format_row(side: str, name: str, result: ClassResult) -> str:
-    """Write one row of the table."""
+    """Format one row of the table."""
     p50, p99 = (result.latency_ms(percent) for percent in PERCENTILES)
     return (
         f"{side:<12} {name:<16} {result.asked:>7} {result.goodput:>7.3f} "
@@ -42,7 +42,7 @@
 
 
 def format_difference(first: SideResult, second: SideResult) -> str:
-    """Write by how much the second side is better."""
+    """Format the goodput difference of the second side to the first."""
     difference = compare_sides(first, second)
     verdict = "clear" if difference.is_clear else "within chance"
     return (
@@ -53,16 +53,16 @@
 
 
 def draw_results(sides: Sequence[SideResult], path: pathlib.Path) -> None:
-    """Draw goodput by slice and latency by percentile.
+    """Plot goodput by slice and latency by percentile.
 
-    :param path: where the PNG goes.
-    :raises SettingsError: if the library that draws is not installed.
+    :param path: path of the PNG to write.
+    :raises SettingsError: if matplotlib is not installed.
     """
     try:
         from matplotlib.figure import Figure
     except ImportError as error:
         raise SettingsError(
-            "pictures need matplotlib; install wagtailstep[load]"
+            "charts need matplotlib; install wagtailstep[load]"
         ) from error
     figure = Figure(figsize=(10, 4), layout="constrained")
     by_slice, by_percent = figure.subplots(1, 2)
--- a/src/wagtailstep/commands/run_backend_server.py
+++ b/src/wagtailstep/commands/run_backend_server.py
@@ -1,4 +1,4 @@
-"""Run backend server stand-ins as one process."""
+"""Runs backend server stand-ins in one process."""
 
 import asyncio
 import signal
@@ -9,10 +9,10 @@
 
 
 def run_backend_servers(servers: Sequence[BackendServerSettings]) -> None:
-    """Serve until SIGTERM or SIGINT, then have all leave, finish and return.
+    """Serve until SIGTERM or SIGINT, then drain all stand-ins and return.
 
     :param servers: settings of each stand-in.
-    :raises SettingsError: if an address can't be listened on.
+    :raises SettingsError: if listening on an address fails.
     """
     try:
         asyncio.run(serve_until_signal(servers))
@@ -21,7 +21,7 @@
 
 
 async def serve_until_signal(servers: Sequence[BackendServerSettings]) -> None:
-    """Serve until a signal asks to leave."""
+    """Serve until a signal requests shutdown, then drain all stand-ins."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/src/wagtailstep/commands/run_daemon.py
+++ b/src/wagtailstep/commands/run_daemon.py
@@ -1,4 +1,4 @@
-"""Running one daemon as a process."""
+"""Runs one daemon as a process."""
 
 import asyncio
 import gc
@@ -24,10 +24,11 @@
 ) -> bool:
     """Serve until SIGTERM or SIGINT, then shut down gracefully.
 
-    :param create_daemon: makes the daemon inside its event loop.
-    :param reread_settings: reads the settings again after SIGHUP.
-    :return: whether all requests in flight ended within the drain limit.
-    :raises SettingsError: if an address can't be listened on.
+    :param create_daemon: creates the daemon; called inside the event loop.
+    :param reread_settings: reads the settings file again; called after SIGHUP and
+        periodically.
+    :return: whether all requests in flight completed within the drain limit.
+    :raises SettingsError: if listening on an address fails.
     """
     configure_logging(settings.log_level)
     try:
@@ -41,7 +42,7 @@
     create_daemon: DaemonFactory,
     reread_settings: Callable[[], DaemonSettings],
 ) -> bool:
-    """Serve until a signal asks to stop."""
+    """Serve until a signal requests shutdown."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -59,10 +60,10 @@
 
 
 def freeze_startup_objects() -> None:
-    """Have the garbage collector run, and pass over what exists now.
+    """Enable the garbage collector and exempt all objects that exist now.
 
-    Modules and classes live as long as the process; looking through them again and
-    again would hold up requests.
+    Modules and classes live as long as the process. Scanning them in each collection
+    would delay requests.
     """
     gc.collect()
     gc.freeze()
@@ -70,7 +71,7 @@
 
 
 def build_start_error(group: BaseExceptionGroup) -> WagtailstepError:
-    """Turn failures to listen into one message."""
+    """Combine listen failures into one error."""
     reasons = "; ".join(sorted(str(error) for error in _flatten(group)))
     return SettingsError(f"an address of the settings can't be used: {reasons}")
 
--- a/src/wagtailstep/commands/table_cells.py
+++ b/src/wagtailstep/commands/table_cells.py
@@ -1,4 +1,4 @@
-"""Cells of the table as text, for spreadsheets and the command line."""
+"""Conversion of table cells to and from text, for CSV files and the command line."""
 
 import enum
 from typing import Any
@@ -12,20 +12,21 @@
 
 
 class CellError(SettingsError):
-    """A cell can't be read; found before anything was appended."""
+    """A cell is invalid; raised before anything is appended to the log."""
 
 
 def format_cell(value: Any) -> str:
-    """Write the value of a column as text."""
+    """Format the value of a column as text."""
     if isinstance(value, enum.Enum):
         return str(value.value)
     return f"{value:.12g}" if isinstance(value, float) else str(value)
 
 
 def parse_cell(row_id: RowId, column: attrs.Attribute, text: str) -> Any:
-    """Read the value of a column from text.
+    """Parse the value of a column.
 
-    :raises CellError: naming row, column, value and what is allowed.
+    :raises CellError: if it is invalid; the message names row, column, value and
+        the allowed values.
     """
     kind = column.type
     try:
@@ -44,7 +45,7 @@
 
 
 def parse_kind(text: str) -> RowKind:
-    """Read the kind of a row.
+    """Parse the kind of a row.
 
     :raises CellError: if there is no such kind.
     """
@@ -58,7 +59,7 @@
 
 
 def parse_row_id(kind: str, key: str) -> RowId:
-    """Read the name of a row.
+    """Build the identifier of a row from its kind and key.
 
     :raises CellError: if the kind is unknown or the key malformed.
     """
@@ -71,10 +72,10 @@
 
 
 def build_row(row_id: RowId, cells: dict[str, str], base: Row | None = None) -> Row:
-    """Make a row from texts by column names; an empty text is the default.
+    """Build a row from texts by column name; an empty text selects the default.
 
-    :param base: gives the columns that ``cells`` does not name.
-    :raises CellError: if a column is unknown or a value not allowed.
+    :param base: row with the values of columns that ``cells`` does not contain.
+    :raises CellError: if a column is unknown or a value is not allowed.
     """
     columns = {column.name: column for column in row_id.kind.columns}
     values: dict[str, Any] = {}
@@ -82,7 +83,7 @@
         if name not in columns:
             allowed = ", ".join(columns)
             raise CellError(
-                f"row {row_id}, column {name}: unknown for this kind with value "
+                f"row {row_id}, column {name}: unknown for this kind, with value "
                 f"{text!r}, allowed is {allowed}"
             )
         column = columns[name]
@@ -98,5 +99,5 @@
 
 
 def format_row(kind: RowKind, row: Row) -> dict[str, str]:
-    """Return the texts of a row's columns, without its key."""
+    """Return the columns of a row as texts, without its key."""
     return {c.name: format_cell(getattr(row, c.name)) for c in kind.columns}
--- a/src/wagtailstep/commands/table_changes.py
+++ b/src/wagtailstep/commands/table_changes.py
@@ -1,4 +1,4 @@
-"""Differences between tables, and what an edit would do."""
+"""Differences between tables, and the effect of an edit."""
 
 import collections
 import copy
@@ -11,7 +11,7 @@
 
 
 def table_rows(table: Table) -> dict[RowId, Row]:
-    """Return all rows of a table by their names."""
+    """Return all rows of a table by their identifiers."""
     return {
         RowId(kind, key): row
         for kind in RowKind
@@ -20,7 +20,7 @@
 
 
 def compute_changes(before: Table, desired_rows: Mapping[RowId, Row]) -> TableChanges:
-    """Return the changes that turn a table into the wanted rows."""
+    """Return the changes that turn a table into the desired rows."""
     changes = TableChanges()
     old = table_rows(before)
     for row_id, row in desired_rows.items():
@@ -58,10 +58,10 @@
 def describe_effect(
     before: Table, after: Table, changes: TableChanges
 ) -> Iterator[str]:
-    """Yield capacity in service against the floor for each service touched.
+    """Yield capacity and floor, before and after, for each service that changes.
 
-    :param before: the table now.
-    :param after: the table that the edit would make.
+    :param before: the current table.
+    :param after: the table that the edit would create.
     """
     for service in sorted({row_id.service for row_id, _ in changes.items()}):
         yield (
@@ -74,7 +74,7 @@
 
 
 def count_changes(changes: TableChanges) -> str:
-    """Return how many rows of each kind are set and removed."""
+    """Return how many rows are set and removed, as text."""
     counts: collections.Counter[str] = collections.Counter()
     for _, row in changes.items():
         counts["removed" if row is None else "set"] += 1
@@ -82,7 +82,7 @@
 
 
 def copy_fold(fold: TableFold) -> TableFold:
-    """Return a fold that can be changed without changing the first one."""
+    """Return a copy of a fold that can be changed independently."""
     rows = {kind.field_name: copy.copy(fold.table.rows(kind)) for kind in RowKind}
     table = Table(fold.version, **rows)
     return TableFold(
--- a/src/wagtailstep/commands/table_client.py
+++ b/src/wagtailstep/commands/table_client.py
@@ -1,4 +1,4 @@
-"""Reading the table from the log and proposing edits to it."""
+"""Reads the table from the log and proposes edits to it."""
 
 import asyncio
 import random
@@ -34,10 +34,10 @@
 
 @attrs.frozen
 class Proposal:
-    """What an operator says about an edit.
+    """Author and reason that an operator gives for an edit.
 
-    :param author: who proposes it.
-    :param reason: why.
+    :param author: who proposes the edit.
+    :param reason: why the edit is proposed.
     """
 
     author: str
@@ -45,12 +45,13 @@
 
 
 class TableClient:
-    """The table as the log has it.
+    """Client of the table in the log.
 
     :param log: the log service.
-    :param clock: tells the time.
-    :param rng: source of identifiers.
-    :param outcome_timeout: how long a lost acknowledgment is inquired into.
+    :param clock: source of the time.
+    :param rng: random generator for identifiers.
+    :param outcome_timeout: how long to look for the outcome of an edit whose append
+        was not acknowledged.
     """
 
     def __init__(
@@ -67,11 +68,11 @@
         self.reader: TableReader | None = None
 
     async def read(self, stop_version: int | None = None) -> TableReader:
-        """Fold the stream from its oldest record on.
+        """Fold the stream, starting at its oldest record.
 
         :param stop_version: stop as soon as the table has this version.
         :raises LogError: if the log can't be read or has no usable snapshot.
-        :raises TableError: if the log no longer knows ``stop_version``.
+        :raises TableError: if ``stop_version`` can no longer be read from the log.
         """
         reader = TableReader()
         offset = await self.log.oldest_offset(TABLE_STREAM)
@@ -84,9 +85,10 @@
     async def _read_from(
         self, reader: TableReader, offset: int, stop_version: int | None = None
     ) -> int:
-        """Feed a reader from an offset on, and return where it stopped.
+        """Feed a reader with records from an offset on.
 
-        :raises LogError: if the log can't be read, or not without a gap.
+        :return: offset of the next record.
+        :raises LogError: if the log can't be read without a gap.
         """
         while not _has_reached_version(reader, stop_version):
             try:
@@ -120,7 +122,7 @@
             )
 
     async def read_fold(self) -> TableFold:
-        """Return the fold of the whole stream, which the next call changes.
+        """Return the fold of the complete stream; the next call changes it in place.
 
         :raises LogError: if the log can't be read.
         """
@@ -134,10 +136,10 @@
         return reader.fold
 
     async def read_table(self, version: int | None = None) -> Table:
-        """Return the newest table or that of a version.
+        """Return the newest table, or the table at a version.
 
         :raises LogError: if the log can't be read.
-        :raises TableError: if the log no longer knows the version.
+        :raises TableError: if that version can no longer be read from the log.
         """
         reader = await self.read(version)
         assert reader.fold is not None
@@ -146,7 +148,7 @@
     def build_edit(
         self, base_version: int, changes: TableChanges, proposal: Proposal
     ) -> TableEdit:
-        """Return an edit with an identifier of its own."""
+        """Build an edit with a new identifier."""
         return TableEdit(
             f"e{make_id(self.rng)}",
             base_version,
@@ -157,16 +159,16 @@
         )
 
     async def propose(self, edit: TableEdit) -> EditOutcome:
-        """Append an edit and find out what became of it.
+        """Append an edit and wait for its outcome.
 
-        An append whose acknowledgment was lost is looked for in the log. If it
-        is not there, the same edit is appended again, which is safe: readers
-        accept an identifier once.
+        If the acknowledgment of an append is lost, the log is searched for the edit.
+        If it is not there, the same edit is appended again, which is safe because
+        readers accept an identifier only once.
 
         :return: the outcome of an accepted edit.
-        :raises LogUnavailableError: if the edit certainly was not appended.
-        :raises AppendUnknownError: if it stays unknown whether it was accepted.
-        :raises TableConflictError: if another edit changed a row first.
+        :raises LogUnavailableError: if the edit was definitely not appended.
+        :raises AppendUnknownError: if the outcome is still unknown at the timeout.
+        :raises TableConflictError: if another edit changed one of its rows first.
         :raises TableError: if it was refused for another reason.
         """
         data = encode_message(edit)
@@ -186,8 +188,8 @@
                 return check_outcome(outcome)
             if self.clock.monotonic() >= deadline:
                 raise AppendUnknownError(
-                    f"edit {edit.edit_id} may have been accepted, now or later; ask "
-                    f"again with: wagtailstep-table outcome {edit.edit_id}"
+                    f"edit {edit.edit_id} may have been accepted or may still be; "
+                    f"check with: wagtailstep-table outcome {edit.edit_id}"
                 )
             await asyncio.sleep(OUTCOME_POLL_INTERVAL_S)
 
@@ -208,7 +210,7 @@
 def check_outcome(outcome: EditOutcome) -> EditOutcome:
     """Return an accepted outcome.
 
-    :raises TableConflictError: if the edit lost to another one.
+    :raises TableConflictError: if another edit changed one of its rows first.
     :raises TableError: if it was refused for another reason.
     """
     if outcome.verdict is EditVerdict.ACCEPTED:
--- a/src/wagtailstep/commands/table_csv.py
+++ b/src/wagtailstep/commands/table_csv.py
@@ -1,4 +1,4 @@
-"""The table as a CSV file that a spreadsheet program can edit."""
+"""Export of the table to CSV for spreadsheet programs, and import of edited files."""
 
 import csv
 import io
@@ -21,9 +21,9 @@
 
 @attrs.frozen
 class TableFile:
-    """What a CSV file says.
+    """Content of a CSV file.
 
-    :param base_version: version that was exported; ``None`` if no row has one.
+    :param base_version: version that was exported; ``None`` if no row names one.
     :param rows: all rows.
     """
 
@@ -40,7 +40,7 @@
 
 
 def write_csv(table: Table) -> str:
-    """Write a table as CSV, one line for each row, sorted by kind and key."""
+    """Format a table as CSV, one line per row, sorted by kind and key."""
     text = io.StringIO()
     writer = csv.DictWriter(text, column_names(), lineterminator="\n")
     writer.writeheader()
@@ -53,12 +53,13 @@
 
 
 def read_csv(text: str) -> TableFile:
-    """Read what :func:`write_csv` wrote, perhaps edited.
+    """Parse the output of :func:`write_csv`, possibly edited.
 
-    :raises CellError: naming line or row, column, value and what is allowed.
+    :raises CellError: if it is invalid; the message names line or row, column, value
+        and the allowed values.
     """
     text = text.removeprefix("\ufeff")
-    # Spreadsheet programs of many countries write semicolons.
+    # In many locales, spreadsheet programs separate cells by semicolons.
     first_line = text.partition("\n")[0]
     delimiter = ";" if ";" in first_line else ","
     reader = csv.DictReader(io.StringIO(text), delimiter=delimiter)
@@ -70,7 +71,7 @@
         row_id = RowId(parse_kind(cells.pop(KIND_COLUMN)), cells.pop(KEY_COLUMN))
         versions.add(cells.pop(VERSION_COLUMN, ""))
         if row_id in rows:
-            raise CellError(f"line {reader.line_num}: row {row_id} stands twice")
+            raise CellError(f"line {reader.line_num}: row {row_id} is a duplicate")
         rows[row_id] = build_row(row_id, _drop_empty(row_id, cells))
     return TableFile(_parse_version(versions - {""}), rows)
 
@@ -84,7 +85,9 @@
             )
     for name in (KIND_COLUMN, KEY_COLUMN):
         if name not in names:
-            raise CellError(f"column {name} is missing; it must stand in line 1")
+            raise CellError(
+                f"column {name} is missing; the header in line 1 must contain it"
+            )
 
 
 def _clean_line(line: dict[str | None, str | None], number: int) -> dict[str, str]:
--- a/src/wagtailstep/commands/table_edit.py
+++ b/src/wagtailstep/commands/table_edit.py
@@ -1,4 +1,4 @@
-"""Editing the table: one row, a whole file, or back to an older version."""
+"""Plans and submits edits of the table: single rows, files and reverts."""
 
 from collections.abc import Iterator
 
@@ -26,11 +26,11 @@
 def plan_row_change(
     fold: TableFold, kind: str, key: str, cells: dict[str, str], remove: bool
 ) -> TableChanges:
-    """Return the change of one row.
+    """Return the change to a single row.
 
-    :param cells: texts of the columns to change, by name.
+    :param cells: new values as texts, by column name.
     :param remove: whether to remove the row instead.
-    :raises SettingsError: if the arguments are wrong.
+    :raises SettingsError: if the arguments are invalid.
     """
     row_id = parse_row_id(kind, key)
     is_new = key not in fold.table.rows(row_id.kind)
@@ -49,15 +49,16 @@
 async def plan_file(
     client: TableClient, fold: TableFold, file: TableFile, remove: bool
 ) -> tuple[int, TableChanges]:
-    """Return what a file changes against the version that it was exported from.
+    """Return the changes of a file since the version it was exported from.
 
-    :param remove: whether rows that the file lacks are removed.
+    :param remove: whether rows that are missing from the file are removed.
     :return: the base version and the changes.
-    :raises SettingsError: if the file lacks its version, or rows without ``remove``.
+    :raises SettingsError: if the file names no version, or lacks rows and ``remove`` is
+        not set.
     """
     if file.base_version is None:
         raise SettingsError(
-            "no row has a base_version, allowed is the version that was exported; "
+            "no row has a base_version, which must be the exported version; "
             "export the table and edit that file, or use import"
         )
     base = fold.table
@@ -69,9 +70,9 @@
 
 
 def plan_import(fold: TableFold, file: TableFile, remove: bool) -> TableChanges:
-    """Return what turns the newest table into a file.
+    """Return the changes that make the newest table equal to a file.
 
-    :raises SettingsError: if the file lacks rows, without ``remove``.
+    :raises SettingsError: if the file lacks rows and ``remove`` is not set.
     """
     changes = compute_changes(fold.table, file.rows)
     _check_removals(changes, remove)
@@ -83,25 +84,25 @@
     if removed and not remove:
         raise SettingsError(
             f"the file lacks {len(removed)} rows of the table, the first is "
-            f"{removed[0]!r}; put them back, or pass --remove to remove them"
+            f"{removed[0]!r}; restore them, or pass --remove to remove them"
         )
 
 
 async def plan_revert(
     client: TableClient, fold: TableFold, version: int
 ) -> TableChanges:
-    """Return what turns the newest table into an older version of it.
+    """Return the changes that make the newest table equal to an older version.
 
-    :raises TableError: if the log no longer knows that version.
+    :raises TableError: if that version can no longer be read from the log.
     """
     older_table = await client.read_table(version)
     return compute_changes(fold.table, table_rows(older_table))
 
 
 def check_size(edit: TableEdit) -> None:
-    """Refuse an edit that is too long for one record of the log.
+    """Reject an edit that is too large for one record of the log.
 
-    :raises SettingsError: if it is too long.
+    :raises SettingsError: if it is too large.
     """
     size = len(encode_message(edit))
     if size > MAX_EDIT_BYTES:
@@ -112,10 +113,10 @@
 
 
 def check_edit(fold: TableFold, edit: TableEdit) -> Iterator[str]:
-    """Decide an edit on a copy of the table.
+    """Apply an edit to a copy of the table.
 
-    :return: lines that tell what it changes and its effect.
-    :raises TableError: if it would be refused.
+    :return: lines that describe its changes and its effect.
+    :raises TableError: if it would be rejected.
     """
     after = copy_fold(fold)
     check_outcome(after.decide(edit, after.next_offset))
@@ -124,9 +125,9 @@
 
 
 def split_changes(changes: TableChanges) -> list[TableChanges]:
-    """Split changes into some of a bounded number of rows, each service whole.
+    """Split changes into parts of a limited number of rows.
 
-    A service of more rows than that still stays whole.
+    All rows of a service stay in one part, even if they exceed the limit.
     """
     by_service: dict[str, list[tuple[RowId, Row | None]]] = {}
     for row_id, row in changes.items():
@@ -143,14 +144,14 @@
 async def submit_parts(
     client: TableClient, changes: TableChanges, proposal: Proposal, dry_run: bool
 ) -> Iterator[str]:
-    """Submit changes to the newest table as one edit, or as several if they are many.
+    """Submit changes to the newest table, split into several edits if necessary.
 
-    Each edit is accepted or refused on its own; the first refusal ends it, and the
-    same command goes on from there.
+    Each edit is accepted or rejected independently. The first rejection stops the
+    submission; running the same command again submits the remaining changes.
 
-    :return: lines that tell what became of them.
-    :raises TableError: if an edit is refused.
-    :raises AppendUnknownError: if that stays unknown.
+    :return: lines that describe the changes and their outcomes.
+    :raises TableError: if an edit is rejected.
+    :raises AppendUnknownError: if the outcome of an edit is unknown.
     """
     lines: list[str] = []
     for part in split_changes(changes) or [changes]:
@@ -169,9 +170,9 @@
 ) -> Iterator[str]:
     """Check an edit and, unless it is a dry run, propose it.
 
-    :return: lines that tell what it changes and what became of it.
-    :raises TableError: if it is refused.
-    :raises AppendUnknownError: if that stays unknown.
+    :return: lines that describe the changes and the outcome.
+    :raises TableError: if the edit is rejected.
+    :raises AppendUnknownError: if the outcome is unknown.
     """
     if not len(changes):
         return iter([f"unchanged version={fold.version}"])
--- a/src/wagtailstep/commands/table_restore.py
+++ b/src/wagtailstep/commands/table_restore.py
@@ -1,4 +1,4 @@
-"""Bringing the table back from a file after the log and all daemons lost it."""
+"""Restores the table from a file after the log and all daemons have lost it."""
 
 from wagtailstep.commands.table_client import Proposal, TableClient
 from wagtailstep.commands.table_csv import TableFile
@@ -17,15 +17,15 @@
 
 
 def check_no_daemon_has_table(reports: list[DaemonReport]) -> None:
-    """Refuse to restore while a daemon has the table or does not answer.
+    """Reject a restore while a daemon has the table or does not respond.
 
-    :raises TableError: if so.
+    :raises TableError: if a daemon has the table or does not respond.
     """
     for report in reports:
         if report.status is None:
             raise TableError(
-                f"daemon {report.address} does not answer, so it may have the table; "
-                f"end it first"
+                f"daemon {report.address} does not respond, so it may have the table; "
+                f"stop it first"
             )
         if report.status.table_known:
             raise TableError(
@@ -38,12 +38,12 @@
 async def restore_table(
     client: TableClient, file: TableFile, version: int, proposal: Proposal
 ) -> int:
-    """Append a snapshot made from a file.
+    """Append a snapshot built from a file.
 
-    :param version: version of the restored table; above any that was in force.
+    :param version: version of the restored table; higher than any that was in force.
     :return: number of records appended.
-    :raises TableError: if the log still has the table, or the file is not valid.
-    :raises SettingsError: if the version is not above the file's.
+    :raises TableError: if the log still has the table, or the file is invalid.
+    :raises SettingsError: if the version is not higher than that of the file.
     :raises LogError: if the log can't be read or appended to.
     """
     if file.base_version is not None and version <= file.base_version:
@@ -60,7 +60,9 @@
 
 
 async def _check_log_lost_table(client: TableClient) -> int:
-    """Return the offset of the next record, if the log has no table any more."""
+    """Return the offset of the next record.
+
+    :raises TableError: if the log still has the table."""
     next_offset = await find_end_offset(client.log)
     try:
         fold = await client.read_fold()
@@ -75,7 +77,7 @@
 
 
 async def find_end_offset(log: LogService) -> int:
-    """Return the offset that the next record of the table's stream will have.
+    """Return the offset of the next record of the table's stream.
 
     :raises LogError: if the log can't be read.
     """
--- a/src/wagtailstep/commands/table_show.py
+++ b/src/wagtailstep/commands/table_show.py
@@ -1,4 +1,4 @@
-"""Showing the table and its history."""
+"""Formats the table and its history for display."""
 
 import re
 from collections.abc import Iterator
@@ -10,11 +10,11 @@
 
 
 def show_rows(table: Table, kind: str = "", prefix: str = "") -> Iterator[str]:
-    """Yield the version and one line for each row.
+    """Yield the version and one line per row.
 
     :param kind: show only rows of this kind; empty for all.
-    :param prefix: show only rows whose keys begin so.
-    :raises SettingsError: if there is no such kind.
+    :param prefix: show only rows whose keys start with this.
+    :raises SettingsError: if the kind is unknown.
     """
     yield f"version={table.version}"
     kinds = [parse_kind(kind)] if kind else list(RowKind)
@@ -26,10 +26,10 @@
 
 
 def show_history(fold: TableFold, row: str = "", limit: int = 20) -> Iterator[str]:
-    """Yield the remembered edits, newest first: who, when, why and what.
+    """Yield one line per known edit, with time, author and reason, newest first.
 
-    :param row: show only edits of rows whose names hold this text.
-    :param limit: show at most so many edits.
+    :param row: show only edits of rows whose names contain this text.
+    :param limit: maximum number of edits.
     """
     pattern = re.compile(re.escape(row))
     shown = 0
--- a/src/wagtailstep/commands/table_status.py
+++ b/src/wagtailstep/commands/table_status.py
@@ -1,4 +1,4 @@
-"""Which version of the table is in force at which daemon."""
+"""Reports which version of the table is in force at each daemon."""
 
 import asyncio
 from collections.abc import Iterator
@@ -17,22 +17,22 @@
 
 
 class StatusClient(Protocol):
-    """Asks daemons for their status."""
+    """Fetches the status of daemons."""
 
     async def fetch_status(self, address: str) -> DaemonStatus:
         """Return a daemon's status.
 
-        :raises RequestError: if it did not answer.
+        :raises RequestError: if it did not respond.
         """
 
 
 @attrs.frozen
 class DaemonReport:
-    """What is known of one daemon.
+    """Result of a status query to one daemon.
 
-    :param address: where it was asked.
-    :param status: its answer, or ``None``.
-    :param problem: why there is no answer.
+    :param address: address that was queried.
+    :param status: status of the daemon, or ``None`` if the query failed.
+    :param problem: why the query failed.
     """
 
     address: str
@@ -43,7 +43,7 @@
 async def query_daemons(
     client: StatusClient, addresses: tuple[str, ...]
 ) -> list[DaemonReport]:
-    """Ask daemons for their status, a bounded number of them at once."""
+    """Fetch the status of daemons with bounded concurrency."""
     semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
 
     async def query(address: str) -> DaemonReport:
@@ -59,10 +59,10 @@
 def describe_reports(
     fold: TableFold | None, reports: list[DaemonReport]
 ) -> Iterator[str]:
-    """Yield one line for each daemon and one that sums up.
+    """Yield one line per daemon and a summary line.
 
-    :param fold: the table by the log, or ``None`` if the log can't be read; the
-        newest version of the daemons stands for it then.
+    :param fold: the table in the log, or ``None`` if the log can't be read; then the
+        newest version among the daemons counts as the newest version.
     """
     versions = [r.status.table_version for r in reports if r.status is not None]
     newest = max(versions, default=0) if fold is None else fold.version
--- a/src/wagtailstep/commands/table_watch.py
+++ b/src/wagtailstep/commands/table_watch.py
@@ -1,4 +1,4 @@
-"""Following the table: edits as they are decided, and where they take hold."""
+"""Follows accepted edits of the table and their rollout to the daemons."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -23,11 +23,11 @@
     run_time: timedelta,
     print_line: Callable[[str], None],
 ) -> None:
-    """Show each new accepted edit, and each change of the daemons' summary.
+    """Print each newly accepted edit and each change of the daemons' summary.
 
-    :param interval: time between two looks.
+    :param interval: polling interval.
     :param run_time: how long to watch.
-    :param print_line: takes the lines.
+    :param print_line: called with each line of output.
     """
     end = client.clock.monotonic() + run_time
     last_version: int | None = None
@@ -54,6 +54,8 @@
 
 
 def list_new_edits(fold: TableFold, last_version: int | None) -> Iterator[str]:
-    """Return lines for the edits after a version, oldest first; none at first."""
+    """Return lines for the edits after a version, oldest first.
+
+    :param last_version: the version; ``None`` returns no lines."""
     count = 0 if last_version is None else fold.version - last_version
     return reversed(list(show_history(fold, limit=count)))
--- a/src/wagtailstep/fakes/announcer.py
+++ b/src/wagtailstep/fakes/announcer.py
@@ -1,4 +1,4 @@
-"""Announcements of a backend server stand-in to the daemon beside it."""
+"""Announces a backend server stand-in to the local daemon."""
 
 import asyncio
 import logging
@@ -24,10 +24,10 @@
 
 @attrs.frozen
 class Announcement:
-    """What a backend server tells the daemon beside it.
+    """Body of an announcement to the local daemon.
 
     :param address: ``host:port`` of the backend server.
-    :param slots: requests that it runs at the same time.
+    :param slots: number of requests that it runs concurrently.
     """
 
     address: str
@@ -35,11 +35,11 @@
 
 
 class Announcer:
-    """Announce one backend server, renew, and say when it leaves.
+    """Announces one backend server, renews the announcement and withdraws it.
 
     :param announce_address: ``host:port`` of the daemon's announcement endpoint.
     :param service: name of the service.
-    :param announcement: what is announced.
+    :param announcement: the announcement to send.
     """
 
     def __init__(
@@ -51,13 +51,13 @@
         self.client = HttpClient(RequestSettings(), LoopClock())
 
     async def run(self) -> None:
-        """Announce again and again until cancelled; a failure is tried again."""
+        """Renew the announcement periodically until cancelled; failures are retried."""
         while True:
             await self.send_announcement("PUT", self.path)
             await asyncio.sleep(ANNOUNCE_INTERVAL_MS / 1000)
 
     async def withdraw(self) -> None:
-        """Say that the backend server takes no new work."""
+        """Withdraw the announcement, so that no new work is routed here."""
         path = f"{self.path}?address={quote(self.announcement.address)}"
         await self.send_announcement("DELETE", path)
         self.client.close()
--- a/src/wagtailstep/fakes/backend_server.py
+++ b/src/wagtailstep/fakes/backend_server.py
@@ -1,14 +1,14 @@
-"""Stand-in for a backend server that counts what it ran.
+"""Stand-in for a backend server that counts the requests it runs.
 
-Real work is any path that is not listed here. Its time is taken from the header
-``fake-work-ms``; its answer repeats the header ``fake-key``, so that a caller can
-tell its own answer from another one. Besides:
+Any path that is not listed here is a work request. The header ``fake-work-ms`` sets
+its processing time; the response echoes the header ``fake-key``, so that callers can
+detect a response that belongs to another request. Control endpoints:
 
-- ``GET /health`` and ``GET /load``: hints that mislead.
-- ``GET /counts``: how often each key was run, and what else was seen.
+- ``GET /health`` and ``GET /load``: always report a healthy, idle server.
+- ``GET /counts``: runs by key, and other counters.
 - ``PUT /faults``: JSON of :class:`wagtailstep.fakes.faults.Faults`.
-- ``POST /silence``: all connections that are open now go silent for good.
-- ``POST /drain``: leave, as on SIGTERM.
+- ``POST /silence``: stop reading from all open connections permanently.
+- ``POST /drain``: drain, as on SIGTERM.
 """
 
 import asyncio
@@ -41,15 +41,16 @@
     """Settings of one backend server stand-in.
 
     :param service: name of the service.
-    :param address: ``host:port`` to listen on; port 0 takes a free one.
-    :param announce_address: ``host:port`` of the daemon beside it; empty for none.
-    :param slots: requests that it runs at the same time.
-    :param queue_length: requests that may wait for a slot before it sheds load.
-    :param work_ms: time of a request that names none.
-    :param cold_start_ms: time from start to full speed.
-    :param cold_factor: factor on the time of requests at the very start.
-    :param drain_limit_s: longest time to finish work when leaving.
-    :param seed: seed of random choices.
+    :param address: ``host:port`` to listen on; port 0 selects a free port.
+    :param announce_address: ``host:port`` of the local daemon; empty to announce
+        nothing.
+    :param slots: number of requests that it runs concurrently.
+    :param queue_length: number of requests that may wait for a slot; more are shed.
+    :param work_ms: processing time of a request that doesn't specify one.
+    :param cold_start_ms: time after the start until it reaches full speed.
+    :param cold_factor: factor on the processing time right after the start.
+    :param drain_limit_s: maximum time to complete requests during a drain.
+    :param seed: seed of the random generator.
     """
 
     service: str = attrs.field(validator=check_name)
@@ -65,9 +66,9 @@
 
 
 class BackendServer:
-    """One stand-in, usable in a test or as a process of its own.
+    """A stand-in for a backend server, for use in tests or as a separate process.
 
-    :param settings: its settings.
+    :param settings: settings of the stand-in.
     """
 
     def __init__(self, settings: BackendServerSettings) -> None:
@@ -101,9 +102,9 @@
         return Application(router=router)
 
     async def start(self) -> str:
-        """Listen and begin to announce.
+        """Listen and start announcing.
 
-        :return: ``host:port`` that is listened on.
+        :return: ``host:port`` of the listener.
         """
         await self.application.start()
         self.address = await self.server.start(self.settings.address)
@@ -118,10 +119,10 @@
         return self.address
 
     async def drain(self) -> None:
-        """Tell the daemon, finish what is running, and stop listening.
+        """Withdraw the announcement, complete running requests and stop listening.
 
-        The listener stays open meanwhile: work that was accepted for this backend
-        server may still arrive.
+        The listener stays open until then, since work that a gate already accepted for
+        this backend server may still arrive.
         """
         if self.drain_started_at is not None:
             return
@@ -133,25 +134,25 @@
         self.drained.set()
 
     async def stop(self) -> None:
-        """Stop at once, whatever is running."""
+        """Stop immediately, even if requests are running."""
         if self.announce_task is not None:
             self.announce_task.cancel()
         await self.server.close()
 
     async def handle_health(self, request: Request) -> Response:
-        """Answer that all is well, whatever the faults."""
+        """Report a healthy server, regardless of the faults."""
         return answer_json({"status": "ok"})
 
     async def handle_load(self, request: Request) -> Response:
-        """Answer with a load that is always low."""
+        """Report an idle server, regardless of the load."""
         return answer_json({"running": 0, "slots": self.settings.slots})
 
     async def handle_counts(self, request: Request) -> Response:
-        """Answer with what was counted."""
+        """Return the counters."""
         return answer_json(self.counts)
 
     async def handle_set_faults(self, request: Request) -> Response:
-        """Take other faults."""
+        """Replace the injected faults."""
         data = await request.read() or b"{}"
         try:
             self.faults = read_faults(msgspec.json.decode(data))
@@ -160,15 +161,15 @@
         return answer_json(self.faults)
 
     async def handle_silence(self, request: Request) -> Response:
-        """Read nothing more from the connections that are open, bar this one."""
+        """Stop reading from all open connections except the one of this request."""
         this_connection = request.scope["wagtailstep.connection"]
         self.silence_open_connections(this_connection)
         return answer_json({"silenced": len(self.silenced_connections)})
 
     def silence_open_connections(self, excluded: object = None) -> None:
-        """Stop reading from all open connections, for good.
+        """Stop reading from all open connections permanently.
 
-        :param excluded: a connection that goes on working.
+        :param excluded: a connection that keeps working.
         """
         for connection in self.server.state.connections:
             if connection is not excluded:
@@ -176,12 +177,12 @@
                 self.silenced_connections.append(connection)
 
     async def handle_drain(self, request: Request) -> Response:
-        """Leave in the background."""
+        """Start draining in the background."""
         self.drain_task = asyncio.create_task(self.drain())
         return answer_json({"leaving": True})
 
     async def handle_work(self, request: Request) -> Response:
-        """Run one real request, or shed it if too many wait."""
+        """Run a work request, or shed it if the queue is full."""
         self.record_late_work()
         if (
             self.requests_in_progress
@@ -204,7 +205,7 @@
             self.requests_in_progress -= 1
 
     async def run_work(self, work: Work, request: Request) -> Response:
-        """Spend the time of a request, count it, and answer with its faults."""
+        """Simulate the processing of a request, subject to the injected faults."""
         faults = self.faults.active_at(
             self.clock.monotonic() / timedelta(milliseconds=1)
         )
@@ -225,7 +226,7 @@
         )
 
     def record_late_work(self) -> None:
-        """Note how long after leaving new work still came."""
+        """Record how long after the start of the drain new work arrived."""
         if self.drain_started_at is None:
             return
         late = (self.clock.monotonic() - self.drain_started_at) / timedelta(
@@ -234,7 +235,7 @@
         self.counts.late_work_ms = max(self.counts.late_work_ms, late)
 
     def work_time_s(self, work: Work, faults: Faults) -> float:
-        """Return the time that a request takes, in seconds."""
+        """Return the processing time of a request in seconds."""
         age_ms = (self.clock.monotonic() - self.started_at) / timedelta(milliseconds=1)
         factor = faults.slow_factor
         if age_ms < self.settings.cold_start_ms:
@@ -246,7 +247,7 @@
 def wrap_handler(
     method: Callable[[Request], Awaitable[Response]],
 ) -> Callable[[Request], Awaitable[Response]]:
-    """Return a function for a method, since BlackSheep sets attributes on it."""
+    """Wrap a method in a function, because BlackSheep sets attributes on handlers."""
 
     async def handler(request: Request) -> Response:
         return await method(request)
@@ -255,7 +256,7 @@
 
 
 def answer_json(value: object, status: int = 200) -> Response:
-    """Return an answer with a JSON body."""
+    """Build a response with a JSON body."""
     return Response(status, content=Content(b"application/json", encode(value)))
 
 
@@ -267,15 +268,15 @@
 def _encode_other(value: object) -> object:
     if isinstance(value, Counter):
         return dict(value)
-    raise TypeError(f"no JSON form of {type(value).__name__}")
+    raise TypeError(f"{type(value).__name__} can't be encoded as JSON")
 
 
 async def serve(settings: BackendServerSettings, stop: asyncio.Event) -> None:
-    """Run a stand-in until it is told to stop, then leave and finish.
+    """Run a stand-in until ``stop`` is set, then drain and stop it.
 
-    One that has left by ``POST /drain`` still tells its counts until then.
+    After a drain by ``POST /drain`` it still serves its counters until then.
 
-    :param stop: set it to make the stand-in leave and end.
+    :param stop: requests the shutdown when set.
     """
     server = BackendServer(settings)
     await server.start()
--- a/src/wagtailstep/fakes/control_bus.py
+++ b/src/wagtailstep/fakes/control_bus.py
@@ -1,4 +1,4 @@
-"""A bus that carries control messages between controllers, without any socket."""
+"""A simulated network that carries control messages between controllers."""
 
 import heapq
 import random
@@ -39,13 +39,14 @@
 class BusNode:
     """The control plane of one daemon on the bus.
 
-    :param blackboard: what the daemon knows.
-    :param controllers: in the order in which they take events.
-    :param announced_targets: targets whose backend servers renew themselves.
+    :param blackboard: shared state of the daemon's controllers.
+    :param controllers: controllers, in the order in which they handle events.
+    :param announced_targets: targets that are announced periodically, by identifier.
     :param events: recorded events, oldest first.
-    :param running: whether it takes events at all.
-    :param follows_log: whether it reads the stream of members.
-    :param log_offset: where it reads on.
+    :param running: whether it handles events; False after it was stopped.
+    :param follows_log: whether it follows the log stream of members.
+    :param log_offset: offset of the next record to read.
+    :param handlers: bound event handlers of ``controllers``.
     """
 
     blackboard: Blackboard
@@ -58,7 +59,7 @@
     handlers: list[Callable[[Any], list[Any]]] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Bind the handlers once, as the runtime does."""
+        """Bind the handlers once, like the runtime."""
         self.handlers = [controller.handle for controller in self.controllers]
 
     @property
@@ -68,11 +69,11 @@
 
     @property
     def address(self) -> str:
-        """Return the address of its control channel."""
+        """Return the address of the daemon's control channel."""
         return self.blackboard.this_member.peer_address
 
     def handle(self, event: Any) -> list[Any]:
-        """Give an event to all controllers and return their effects."""
+        """Pass an event to all controllers and return their effects."""
         effects: list[Any] = []
         for handle in self.handlers:
             effects += handle(event)
@@ -80,9 +81,9 @@
 
 
 class ControlBus:
-    """Run the control planes of several daemons on one manual clock.
+    """Runs the control planes of several daemons on one manual clock.
 
-    :param seed: seed of all random choices.
+    :param seed: seed of the random generator.
     """
 
     def __init__(self, seed: int) -> None:
@@ -107,9 +108,10 @@
         clock_skew: timedelta = timedelta(),
         targets_per_service: int = 1,
     ) -> BusNode:
-        """Start a daemon with backend servers of some services.
+        """Start a daemon with backend servers of the given services.
 
-        :param incarnation: 0 takes the wall-clock time in milliseconds.
+        :param requested_services: services whose targets the daemon needs to know.
+        :param incarnation: 0 uses the wall-clock time in milliseconds.
         """
         address = f"{daemon_id}.test:7003"
         started_ms = round((self.clock.utc() + clock_skew).timestamp() * 1_000)
@@ -137,7 +139,7 @@
                     target_id, service, daemon_id, zone
                 )
         self.nodes[daemon_id] = self.addresses[address] = node
-        # Daemons don't tick in step.
+        # A random phase, so that daemons don't tick in lockstep.
         phase = timedelta(milliseconds=self.rng.uniform(0, TICK_INTERVAL_MS))
         self._schedule(phase, node, Tick())
         self._schedule(timedelta(), node, None)
@@ -162,11 +164,11 @@
         )
 
     def stop(self, daemon_id: str) -> None:
-        """End a daemon without a word."""
+        """Stop a daemon abruptly; it sends no more messages."""
         self.nodes[daemon_id].running = False
 
     def run(self, duration: timedelta) -> None:
-        """Let time pass."""
+        """Advance the clock and process all events that become due."""
         end = self.clock.monotonic() + duration
         while self.queue and self.queue[0][0] <= end:
             due_at, _, node, event = heapq.heappop(self.queue)
@@ -176,7 +178,7 @@
         self.clock.advance(end - self.clock.monotonic())
 
     def dispatch(self, node: BusNode, event: Any) -> None:
-        """Give an event to a daemon and apply the effects."""
+        """Pass an event to a daemon and apply the effects."""
         for effect in node.handle(event):
             self._apply(node, effect)
 
@@ -210,7 +212,7 @@
             node.events.append(effect)
 
     def send(self, node: BusNode, effect: SendToPeer) -> None:
-        """Carry one message as the rules allow."""
+        """Schedule the delivery of a message, subject to the link rules."""
         receiver = self.addresses.get(effect.address)
         if receiver is None:
             return
--- a/src/wagtailstep/fakes/faults.py
+++ b/src/wagtailstep/fakes/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a backend server stand-in can be told to have."""
+"""Faults that can be injected into a backend server stand-in."""
 
 import random
 
@@ -11,15 +11,16 @@
 
 @attrs.frozen
 class Faults:
-    """Gray failures; all of them leave health and load endpoints cheerful.
-
-    :param fail_share: share of real requests that end with status 500, 0 to 1.
-    :param fail_route: first path segment whose requests all fail, or empty.
-    :param slow_factor: factor on the time of every real request.
-    :param flap_ms: if not 0, faults are off and on in turns of this length.
-    :param truncate_share: share of answers that are cut in the middle, 0 to 1.
-    :param lose_share: share of requests that run and whose answer is lost, 0 to 1.
-    :param hang_share: share of requests that are read and never answered, 0 to 1.
+    """Gray failures: health and load endpoints report no problem despite them.
+
+    :param fail_share: fraction of work requests that fail with status 500, 0 to 1.
+    :param fail_route: first path segment of requests that all fail; empty for none.
+    :param slow_factor: factor on the processing time of every work request.
+    :param flap_ms: if not 0, faults alternate between off and on in periods of this
+        length.
+    :param truncate_share: fraction of responses that are truncated, 0 to 1.
+    :param lose_share: fraction of requests that run but whose response is lost, 0 to 1.
+    :param hang_share: fraction of requests that run but are never answered, 0 to 1.
     """
 
     fail_share: float = 0.0
@@ -31,20 +32,20 @@
     hang_share: float = 0.0
 
     def active_at(self, now_ms: float) -> "Faults":
-        """Return the faults in effect at a moment, with flapping applied."""
+        """Return the faults in effect at a given time, with flapping applied."""
         if self.flap_ms and int(now_ms / self.flap_ms) % 2 == 0:
             return Faults()
         return self
 
     def should_fail(self, route: str, rng: random.Random) -> bool:
-        """Tell whether a request of a route ends with status 500."""
+        """Return whether a request of a route should fail with status 500."""
         if self.fail_route and route == self.fail_route:
             return True
         return draw_bool(rng, self.fail_share)
 
 
 def draw_bool(rng: random.Random, share: float) -> bool:
-    """Return true for a share of all calls."""
+    """Return True with probability ``share``."""
     return share > 0 and rng.random() < share
 
 
@@ -56,7 +57,7 @@
 
 
 def read_faults(values: object) -> Faults:
-    """Read faults from decoded JSON.
+    """Convert decoded JSON to faults.
 
     :raises SettingsError: if a key is unknown or a value has the wrong type.
     """
@@ -64,4 +65,6 @@
         return _converter.structure(values, Faults)
     except Exception as error:
         known = ", ".join(field.name for field in attrs.fields(Faults))
-        raise SettingsError(f"faults {values!r} are wrong; known: {known}") from error
+        raise SettingsError(
+            f"faults {values!r} are invalid; known fields: {known}"
+        ) from error
--- a/src/wagtailstep/fakes/log_server.py
+++ b/src/wagtailstep/fakes/log_server.py
@@ -1,4 +1,4 @@
-"""The stand-in for the log service on a real port, over HTTP/1.1."""
+"""Serves the stand-in for the log service over HTTP/1.1."""
 
 import asyncio
 import contextlib
@@ -46,7 +46,7 @@
 
 
 async def _withhold_response() -> None:
-    # The server cancels what is still held back when it ends; that is no fault.
+    # The server cancels withheld responses at shutdown; that is not an error.
     with contextlib.suppress(asyncio.CancelledError):
         await asyncio.sleep(UNANSWERED_HOLD_S)
 
@@ -88,8 +88,8 @@
 
 
 def create_application(log: InMemoryLogService) -> Application:
-    """Return the HTTP application around a log service in memory."""
-    # Without a router of its own an application shares one with all others.
+    """Return an HTTP application that serves an in-memory log service."""
+    # Without an explicit router, all applications share a global one.
     app = Application(router=Router())
 
     @app.router.post("/streams/{stream}/records")
@@ -123,12 +123,12 @@
     stop: asyncio.Event | None = None,
     run_time: timedelta | None = None,
 ) -> None:
-    """Serve the stand-in until it is stopped by a signal, an event or its run time.
+    """Serve the stand-in until a signal, an event or the end of its run time.
 
     :param port: TCP port; 0 lets the system choose.
-    :param on_started: called with the port once requests are taken.
-    :param stop: ends the service when set.
-    :param run_time: ends the service after this time.
+    :param on_started: called with the port once requests are accepted.
+    :param stop: stops the service when set.
+    :param run_time: stops the service after this time.
     :raises SettingsError: if the address can't be bound.
     """
     log = InMemoryLogService(LoopClock(), faults)
@@ -144,7 +144,9 @@
     try:
         await server.serve()
     except SystemExit as error:
-        raise SettingsError(f"can't listen on {host}:{port}; choose another") from error
+        raise SettingsError(
+            f"can't listen on {host}:{port}; choose another address"
+        ) from error
     finally:
         watcher.cancel()
 
--- a/src/wagtailstep/fakes/log_service.py
+++ b/src/wagtailstep/fakes/log_service.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's log service, in memory, with faults on demand."""
+"""An in-memory stand-in for the log service with fault injection."""
 
 import asyncio
 import collections
@@ -20,16 +20,16 @@
 
 @attrs.define
 class LogFaults:
-    """What is wrong with the stand-in now.
-
-    :param away: whether calls are refused without effect.
-    :param silent: whether calls have no effect and no answer.
-    :param delay_ms: how long each call takes.
-    :param lost_acknowledgments: how many of the next appends take effect without
-        an acknowledgment.
-    :param retention_s: records older than this expire; 0 is never.
-    :param retention_records: records retained in a stream; 0 is all.
-    :param appends_per_s: appends allowed in one second; 0 is any number.
+    """Injected faults and limits of the stand-in.
+
+    :param away: whether calls are rejected without effect.
+    :param silent: whether calls have no effect and get no response.
+    :param delay_ms: added latency of each call.
+    :param lost_acknowledgments: number of next appends that take effect without an
+        acknowledgment.
+    :param retention_s: records older than this expire; 0 keeps them forever.
+    :param retention_records: records retained per stream; 0 keeps all.
+    :param appends_per_s: appends accepted per second; 0 is unlimited.
     """
 
     away: bool = False
@@ -43,7 +43,7 @@
 
 @attrs.define
 class StoredRecord:
-    """One record of the stand-in.
+    """A stored record.
 
     :param appended_at: monotonic time of the append.
     """
@@ -54,24 +54,24 @@
 
 @attrs.define
 class Stream:
-    """One stream: its retained records and the offset of the next one."""
+    """A stream: its retained records and the offset of the next record."""
 
     records: collections.deque[StoredRecord] = attrs.field(factory=collections.deque)
     next_offset: int = 0
 
     @property
     def oldest_offset(self) -> int:
-        """Return the oldest retained offset, or the next one of an empty stream."""
+        """Return the oldest retained offset, or the next offset of an empty stream."""
         if self.records:
             return self.records[0].record.offset
         return self.next_offset
 
 
 def slice_records(stream: Stream, first: int, limit: int) -> tuple[LogRecord, ...]:
-    """Return some records of a stream, at least one if there is any.
+    """Return up to ``MAX_READ_BYTES`` of records, but at least one if there is any.
 
-    :param first: index of the first one.
-    :param limit: most records.
+    :param first: index of the first record.
+    :param limit: maximum number of records.
     """
     records: list[LogRecord] = []
     size = 0
@@ -85,10 +85,10 @@
 
 
 class InMemoryLogService(LogService):
-    """Streams in memory behind the interface of the log service.
+    """In-memory implementation of the log service.
 
-    :param clock: decides when records expire and how fast appends come.
-    :param faults: what is wrong; may be changed at any time.
+    :param clock: clock for the expiry of records and the append rate limit.
+    :param faults: injected faults; may be replaced at any time.
     """
 
     def __init__(self, clock: Clock, faults: LogFaults | None = None) -> None:
@@ -131,20 +131,22 @@
         return self.drop_expired_records(stream).oldest_offset
 
     async def simulate_delay(self) -> None:
-        """Wait as long as the faults say."""
+        """Wait for the injected latency."""
         if self.faults.delay_ms:
             await asyncio.sleep(self.faults.delay_ms / 1000)
 
     def check_available(self, reading: bool = False) -> None:
-        """Refuse a call while the service is away.
+        """Reject a call while the service is unavailable.
 
-        :raises LogUnavailableError: if it is away.
+        :param reading: whether the call is a read, which also fails while the service
+            is silent.
+        :raises LogUnavailableError: if it is unavailable.
         """
         if self.faults.away or (reading and self.faults.silent):
-            raise LogUnavailableError("the log service is away")
+            raise LogUnavailableError("the log service is unavailable")
 
     def check_append_rate(self) -> None:
-        """Refuse an append beyond the allowed rate.
+        """Reject an append that exceeds the rate limit.
 
         :raises LogUnavailableError: if there were too many in the last second.
         """
@@ -155,7 +157,7 @@
             recent.popleft()
         limit = self.faults.appends_per_s
         if limit and len(recent) >= limit:
-            raise LogUnavailableError(f"more than {limit} appends in a second")
+            raise LogUnavailableError(f"more than {limit} appends per second")
         recent.append(now)
 
     def store_record(self, name: str, data: bytes) -> int:
@@ -169,7 +171,7 @@
         return record.offset
 
     def drop_expired_records(self, name: str) -> Stream:
-        """Drop what is no longer retained and return the stream."""
+        """Drop records past their retention and return the stream."""
         stream = self.streams[name]
         faults = self.faults
         if faults.retention_records:
--- a/src/wagtailstep/fakes/ports.py
+++ b/src/wagtailstep/fakes/ports.py
@@ -1,4 +1,4 @@
-"""Free loopback ports for processes that are started later."""
+"""Picks free loopback ports for processes that are started later."""
 
 import random
 import socket
@@ -9,10 +9,10 @@
 
 
 class PortPicker:
-    """Pick free loopback ports; all stay bound until :meth:`release`.
+    """Picks free loopback ports and keeps them bound until :meth:`release`.
 
-    They lie below the ports that systems commonly give to outgoing connections, so
-    that none of those takes one before its process listens.
+    They are below the usual range of ephemeral ports, so that no outgoing connection
+    takes one before its process listens.
     """
 
     def __init__(self) -> None:
@@ -20,9 +20,9 @@
         self.next_port = random.SystemRandom().randrange(FIRST_PORT, LAST_PORT - 1_000)
 
     def pick(self) -> str:
-        """Return the address of a port that was free.
+        """Bind a free port and return its address.
 
-        :raises OSError: if there is none.
+        :raises OSError: if no port is free.
         """
         while self.next_port < LAST_PORT:
             listener = socket.socket()
@@ -37,13 +37,13 @@
         raise OSError(f"no free port below {LAST_PORT}")
 
     def release(self) -> None:
-        """Free all picked ports for the processes that are to use them."""
+        """Release all picked ports to the processes that will listen on them."""
         for listener in self.sockets:
             listener.close()
 
 
 def pick_addresses(count: int) -> list[str]:
-    """Return addresses with ports that were free just now."""
+    """Return addresses with currently free ports."""
     picker = PortPicker()
     addresses = [picker.pick() for _ in range(count)]
     picker.release()
--- a/src/wagtailstep/fakes/work.py
+++ b/src/wagtailstep/fakes/work.py
@@ -1,4 +1,4 @@
-"""One unit of work of a backend server stand-in, and the counts of all."""
+"""Work requests of a backend server stand-in, and counters over them."""
 
 from collections import Counter
 from collections.abc import AsyncIterator, Callable
@@ -15,15 +15,16 @@
 
 @attrs.define
 class WorkCounts:
-    """What a stand-in saw.
-
-    :param started: how often each key began to run.
-    :param runs: how often each key was run to its end.
-    :param shed: requests refused because too many waited.
-    :param failed: requests ended with status 500 by a fault.
-    :param cancelled: requests whose connection was closed before the answer.
-    :param most_inside: most requests that were inside at the same time.
-    :param late_work_ms: latest arrival of new work after leaving, in milliseconds.
+    """Counters of a stand-in.
+
+    :param started: number of started runs by key.
+    :param runs: number of completed runs by key.
+    :param shed: requests rejected because the queue was full.
+    :param failed: requests that failed with status 500 due to a fault.
+    :param cancelled: requests whose connection was closed before the response.
+    :param most_inside: maximum number of requests in progress at the same time.
+    :param late_work_ms: latest arrival of new work after the start of the drain, in
+        milliseconds.
     """
 
     started: Counter[str] = attrs.field(factory=Counter)
@@ -37,14 +38,14 @@
 
 @attrs.frozen
 class Work:
-    """One request as a stand-in runs it.
+    """One work request.
 
-    :param key: what the caller calls the request.
+    :param key: name of the request, chosen by its caller.
     :param route: first segment of its path.
-    :param work_ms: time that it takes.
-    :param answer_bytes: size of the answer's filling.
-    :param body_bytes: size of the body that was read.
-    :param body_digest: digest of that body.
+    :param work_ms: processing time.
+    :param answer_bytes: size of the padding in the response body.
+    :param body_bytes: size of the request body.
+    :param body_digest: digest of the request body.
     """
 
     key: str
@@ -57,10 +58,11 @@
     def build_response(
         self, address: str, abort_connection: Callable[[], None] | None
     ) -> Response:
-        """Return the answer.
+        """Build the response.
 
-        :param address: address of the stand-in, told to the caller.
-        :param abort_connection: breaks the connection in the middle of the answer, or ``None``.
+        :param address: address of the stand-in, included in the response.
+        :param abort_connection: closes the connection, to truncate the response; or
+            ``None``.
         """
         headers = [
             (KEY, self.key.encode()),
@@ -90,9 +92,9 @@
 
 
 async def read_work(request: Request, default_ms: float) -> Work:
-    """Read a request to its end.
+    """Read a request with its complete body.
 
-    :param default_ms: time of a request that names none.
+    :param default_ms: processing time if the request doesn't specify one.
     """
     digest = xxhash.xxh64()
     size = 0
--- a/src/wagtailstep/platform/__init__.py
+++ b/src/wagtailstep/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translation between wagtailstep and the users' platform. Nothing is decided here."""
+"""Adapter to the users' platform. It only translates and makes no decisions."""
--- a/src/wagtailstep/platform/__main__.py
+++ b/src/wagtailstep/platform/__main__.py
@@ -1,13 +1,13 @@
-"""Start of the program: ``python -m wagtailstep.platform run`` or ``check``."""
+"""Entry point of the program: ``python -m wagtailstep.platform run`` or ``check``."""
 
 import gc
 
 
 def main() -> None:
-    """Load the program without garbage collection, then run it.
+    """Import the program with garbage collection disabled, then run it.
 
-    What is loaded never becomes garbage, and looking for garbage takes a sixth of
-    the start. A daemon turns the collector on when it serves.
+    Imported modules never become garbage, and collections take a sixth of the startup
+    time. The daemon enables the collector once it serves.
     """
     gc.disable()
     from wagtailstep.platform.program import main as run_program
--- a/src/wagtailstep/platform/configuration.py
+++ b/src/wagtailstep/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, turned into a table."""
+"""Converts the operator's configuration into a table."""
 
 import re
 from datetime import timedelta
@@ -24,13 +24,13 @@
 
 
 class Columns(msgspec.Struct):
-    """A list of objects, written as the names of their fields and rows of values."""
+    """A list of objects, encoded as field names and rows of values."""
 
     columns: list[str]
     rows: list[list[Any]]
 
     def to_dicts(self) -> list[dict[str, Any]]:
-        """Return the objects; fields without a value are left out."""
+        """Return the objects; fields without a value are omitted."""
         return [
             {
                 name: value
@@ -51,8 +51,8 @@
 class RouteRow(msgspec.Struct, rename="kebab"):
     """One route.
 
-    :param aim: time within which an answer earns its full credit.
-    :param service: the only service, where there is no ``traffic_split``.
+    :param aim: latency objective; a response within it earns full credit.
+    :param service: the only service, if there is no ``traffic_split``.
     """
 
     name: str
@@ -68,16 +68,16 @@
 
 
 class Limits(msgspec.Struct, rename="kebab", frozen=True):
-    """What a client may send.
+    """Limits on requests of clients.
 
-    :param max_body_bytes: longest body; 0 for any.
+    :param max_body_bytes: maximum size of a body; 0 is unlimited.
     """
 
     max_body_bytes: int = 0
 
 
 class Configuration(msgspec.Struct):
-    """The record ``config`` of the operator."""
+    """The operator's record ``config``."""
 
     version: str
     routes: Columns
@@ -85,9 +85,9 @@
 
 
 def find_document(records: KeyedRecords) -> TableDocument | None:
-    """Return the configuration among the operator's records.
+    """Return the configuration among the operator's records, if any.
 
-    :raises DecodeError: if it can't be read.
+    :raises DecodeError: if it is malformed.
     """
     data = records.values.get(CONFIG_KEY)
     if not data:
@@ -96,16 +96,16 @@
 
 
 def build_table(document: TableDocument) -> Table:
-    """Return the table of a configuration.
+    """Build the table from a configuration.
 
-    :raises DecodeError: if it can't be read.
+    :raises DecodeError: if the configuration is malformed.
     """
     configuration = decode_configuration(document.data)
     try:
         rows = msgspec.convert(configuration.routes.to_dicts(), list[RouteRow])
         routes = HostRoutes(build_route(row) for row in rows)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise DecodeError(f"a route can't be read: {error}") from error
+        raise DecodeError(f"a route is malformed: {error}") from error
     return Table(
         version=document.version,
         host_routes=routes,
@@ -116,48 +116,52 @@
 def decode_configuration(data: bytes) -> Configuration:
     """Decode the record ``config``.
 
-    :raises DecodeError: if it is something else.
+    :raises DecodeError: if it is malformed.
     """
     try:
         return msgspec.json.decode(data, type=Configuration)
     except msgspec.MsgspecError as error:
-        raise DecodeError(f"the configuration can't be read: {error}") from error
+        raise DecodeError(f"the configuration is malformed: {error}") from error
 
 
 def parse_version(text: str) -> int:
-    """Return the number of a version.
+    """Parse a version such as ``r12`` into its number.
 
-    :raises DecodeError: if it is not written as one.
+    :raises DecodeError: if it is malformed.
     """
     match = VERSION_PATTERN.fullmatch(text)
     if match is None:
-        raise DecodeError(f"{text!r} is not a version of the configuration")
+        raise DecodeError(
+            f"{text!r} is not a version of the configuration, which has the form r12"
+        )
     return int(match[1])
 
 
 def parse_duration(text: str) -> timedelta:
-    """Return a time that is written as a number and its unit.
+    """Parse a duration such as ``250ms`` or ``1.5s``.
 
-    :raises DecodeError: if it is not written so.
+    :raises DecodeError: if it is malformed.
     """
     match = DURATION_PATTERN.fullmatch(text)
     if match is None:
-        raise DecodeError(f"{text!r} is not a time")
+        raise DecodeError(
+            f"{text!r} is not a duration; expected a number and the unit ms or s"
+        )
     return float(match[1]) * DURATION_UNITS[match[2]]
 
 
 def build_route(row: RouteRow) -> HostRoute:
-    """Return the route of a row.
+    """Build a route from its row.
 
-    :raises DecodeError: if a time can't be read.
-    :raises ValueError: if its kind is unknown or it leads nowhere.
+    :raises DecodeError: if a duration is malformed.
+    :raises ValueError: if its kind is unknown or it has no service.
     """
     parts = tuple(
         RoutePart(part.service, part.weight) for part in row.traffic_split or ()
     )
     if not parts:
         if row.service is None:
-            raise ValueError(f"route {row.name!r} leads to no service")
+            raise ValueError(f"route {row.name!r} has no service")
         parts = (RoutePart(row.service),)
     return HostRoute(
         name=row.name,
--- a/src/wagtailstep/platform/daemon.py
+++ b/src/wagtailstep/platform/daemon.py
@@ -1,4 +1,4 @@
-"""A daemon whose outside is the platform."""
+"""A daemon that uses the platform's metadata store and heartbeats."""
 
 from blacksheep import Application
 
@@ -21,10 +21,10 @@
 
 
 class PlatformDaemon(Daemon):
-    """Wire the product's controllers to the platform's store and heartbeats.
+    """Connects the controllers to the platform's store and heartbeats.
 
     :param settings: settings of the daemon and of the store.
-    :param clock: the clock of all its components.
+    :param clock: clock of all components.
     """
 
     def __init__(self, settings: PlatformSettings, clock: Clock) -> None:
@@ -37,7 +37,10 @@
         return self.store
 
     def make_controllers(self) -> tuple[Controller, ...]:
-        """Return the controllers; the table comes whole and gates judge targets."""
+        """Return the controllers for a table that is published as one document.
+
+        Each gate judges the standing of its own target.
+        """
         parts = (self.settings, self.blackboard, self.clock, self.rng)
         return (
             PublishedTableController(*parts, build_table),
@@ -52,7 +55,7 @@
         )
 
     def add_announcements(self, app: Application) -> None:
-        """Take heartbeats in place of announcements."""
+        """Add the heartbeat endpoints in place of announcements."""
         add_heartbeat_routes(app, self.runtime.dispatch, self.settings, self.clock)
 
     async def start(self) -> None:
@@ -69,6 +72,6 @@
         self.runtime.spawn(follower.run())
 
     async def close(self) -> None:
-        """Stop at once and close the connections to the store."""
+        """Stop immediately and close the connections to the store."""
         await super().close()
         self.store.close()
--- a/src/wagtailstep/platform/heartbeats.py
+++ b/src/wagtailstep/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of the target on this machine, turned into announcements."""
+"""Converts heartbeats of the target on this machine into announcements."""
 
 import logging
 from collections.abc import Callable
@@ -22,12 +22,12 @@
 
 
 class Heartbeat(msgspec.Struct, rename="kebab"):
-    """What a target says of itself.
+    """Body of a heartbeat.
 
-    :param address: ``host:port``; only processes on its machine reach it.
-    :param warmup_left: how much longer it is slow after its start.
-    :param sequence: rises with each call of one process.
-    :param born: Unix time of its start in milliseconds.
+    :param address: ``host:port`` of the target; reachable only from its own machine.
+    :param warmup_left: remaining time of its warm-up, during which it is slow.
+    :param sequence: increases with each heartbeat of one process.
+    :param born: start time of the process, as Unix time in milliseconds.
     """
 
     service: str
@@ -40,11 +40,11 @@
 
 
 class HeartbeatRoutes:
-    """Turn heartbeats into events, or refuse them with a reason.
+    """Converts heartbeats into events; logs and rejects malformed ones.
 
-    :param dispatch: takes the events.
+    :param dispatch: called with each event.
     :param settings: settings of the daemon.
-    :param clock: tells when a target left.
+    :param clock: clock for the time of a withdrawal.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self.clock = clock
 
     async def handle_heartbeat(self, request: Request) -> Response:
-        """Take a heartbeat."""
+        """Handle a heartbeat."""
         instance_id = request.route_values["id"]
         try:
             event = self.parse_heartbeat(instance_id, await request.read() or b"")
@@ -66,11 +66,11 @@
         return Response(200, None, Content(b"application/json", b"{}"))
 
     def parse_heartbeat(self, instance_id: str, body: bytes) -> TargetAnnounced:
-        """Return the announcement that a heartbeat stands for.
+        """Convert the body of a heartbeat into an announcement.
 
-        :raises MsgspecError: if the body has missing or wrong fields.
+        :raises MsgspecError: if the body has missing or invalid fields.
         :raises BadRequestError: if a value is not allowed.
-        :raises DecodeError: if a time can't be read.
+        :raises DecodeError: if a duration is malformed.
         """
         heartbeat = msgspec.json.decode(body, type=Heartbeat)
         if heartbeat.state not in TARGET_STATES:
@@ -91,9 +91,9 @@
         return TargetAnnounced(target, heartbeat.born, heartbeat.sequence)
 
     async def handle_withdrawal(self, request: Request) -> Response:
-        """Take the withdrawal of a target."""
+        """Handle the withdrawal of a target."""
         instance_id = request.route_values["id"]
-        # ``born`` of a heartbeat is Unix time in milliseconds as well.
+        # Same unit and epoch as ``born`` of a heartbeat.
         now_ms = int(self.clock.utc().timestamp() * 1_000)
         event = InstanceWithdrawn(instance_id, self.settings.service, now_ms)
         self.dispatch(event)
@@ -109,7 +109,7 @@
     """Add the routes for heartbeats to an application."""
     routes = HeartbeatRoutes(dispatch, settings, clock)
 
-    # The router marks its handlers, which only plain functions allow.
+    # The router sets attributes on its handlers, which only works for functions.
     async def handle_heartbeat(request: Request) -> Response:
         return await routes.handle_heartbeat(request)
 
--- a/src/wagtailstep/platform/program.py
+++ b/src/wagtailstep/platform/program.py
@@ -1,4 +1,4 @@
-"""The commands of the program that the platform starts on each machine."""
+"""Commands of the program that the platform starts on each machine."""
 
 import os
 import sys
@@ -18,7 +18,7 @@
 def run() -> int:
     """Run a daemon on the platform until SIGTERM.
 
-    Exit codes are those of ``wagtailstep-daemon run``.
+    Exit codes are the same as for ``wagtailstep-daemon run``.
     """
     settings = read_platform_settings()
     drained = run_daemon(
@@ -30,19 +30,21 @@
 
 
 def check() -> int:
-    """Check the settings file and start nothing."""
+    """Validate the settings file without starting the daemon."""
     print(f"ok: settings of daemon {read_platform_settings().daemon.daemon_id}")
     return status_codes.SUCCESS
 
 
 def read_platform_settings() -> PlatformSettings:
-    """Read the settings file that the platform names.
+    """Read the settings file named by the platform in an environment variable.
 
-    :raises SettingsError: if it is missing or wrong.
+    :raises SettingsError: if the file is missing or invalid.
     """
     path = os.environ.get(FILE_VARIABLE)
     if not path:
-        raise SettingsError(f"variable {FILE_VARIABLE} names no settings file")
+        raise SettingsError(
+            f"variable {FILE_VARIABLE} is not set; it must name the settings file"
+        )
     return read_settings(path, PlatformSettings)
 
 
--- a/src/wagtailstep/platform/settings.py
+++ b/src/wagtailstep/platform/settings.py
@@ -7,10 +7,10 @@
 
 @attrs.frozen
 class StoreSettings:
-    """Where the platform's metadata store is.
+    """Settings of the connection to the platform's metadata store.
 
     :param address: ``host:port`` of the store.
-    :param timeout_ms: time allowed to a call, beyond what it waits by itself.
+    :param timeout_ms: timeout of a call, in addition to the wait time of a long poll.
     """
 
     address: str = attrs.field(validator=check_address)
@@ -22,7 +22,7 @@
     """All settings of one daemon on the platform.
 
     :param daemon: settings of the daemon.
-    :param store: the platform's metadata store.
+    :param store: settings of the platform's metadata store.
     """
 
     daemon: DaemonSettings
--- a/src/wagtailstep/platform/stand_in.py
+++ b/src/wagtailstep/platform/stand_in.py
@@ -22,11 +22,12 @@
 
 @attrs.define
 class Topic:
-    """Records of partition 0.
+    """Records of a topic in its only partition, 0.
 
     :param records: records with their offsets.
     :param end: offset of the next record.
-    :param first: oldest offset that is retained.
+    :param first: oldest offset that can be read.
+    :param appended: set when the next record is appended.
     """
 
     records: list[tuple[int, bytes]] = attrs.field(factory=list)
@@ -44,7 +45,7 @@
         return offset
 
     def compact(self) -> None:
-        """Keep only the newest record of each key, and no history."""
+        """Drop all but the newest record of each key, and expire earlier offsets."""
         newest = {
             parse_keyed_record(record)[0]: (at, record) for at, record in self.records
         }
@@ -54,12 +55,12 @@
 
 @attrs.define
 class StoreFaults:
-    """What goes wrong with the next calls.
+    """Injected faults.
 
-    :param status: answered to calls that then have no effect; 0 for none.
-    :param silent: calls have no effect and get no answer.
-    :param lost_answers: appends that take effect and get no answer.
-    :param truncated_answers: answers are cut in the middle.
+    :param status: status of responses to calls, which then have no effect; 0 for none.
+    :param silent: whether calls have no effect and get no response.
+    :param lost_answers: number of next appends that take effect but get no response.
+    :param truncated_answers: whether response bodies are truncated.
     """
 
     status: int = 0
@@ -69,7 +70,7 @@
 
 
 class StandInStore:
-    """Serve the calls that the adapter makes, by the published protocol."""
+    """Serves the calls that the adapter makes, according to the published protocol."""
 
     def __init__(self) -> None:
         self.topics: dict[str, Topic] = {}
@@ -80,21 +81,21 @@
         self.add_routes()
 
     async def start(self, address: str) -> str:
-        """Listen on ``host:port`` and return where."""
+        """Listen on ``host:port`` and return the bound address."""
         await self.app.start()
         return await self.server.start(address)
 
     def get_topic(self, name: str) -> Topic:
-        """Return a topic, made on first use."""
+        """Return a topic, which is created on first use."""
         return self.topics.setdefault(name, Topic())
 
     def put(self, topic: str, key: str, value: bytes) -> None:
-        """Write a keyed record, as the operator does."""
+        """Append a keyed record, as the operator does."""
         name = key.encode()
         self.get_topic(topic).append(bytes([len(name)]) + name + value)
 
     def add_routes(self) -> None:
-        """Add the calls to the application."""
+        """Register the endpoints."""
 
         async def append(request: Request) -> Response:
             return await self.serve(request, self.append)
@@ -110,7 +111,7 @@
         self.app.router.add_get("/v1/log-newest", newest)
 
     async def serve(self, request: Request, call: Any) -> Response:
-        """Serve a call, or what its fault makes of it."""
+        """Serve a call subject to the injected faults."""
         self.calls.append(request.url.path.decode())
         if self.faults.silent:
             await asyncio.sleep(UNANSWERED_CALL_S)
@@ -125,7 +126,7 @@
         return response
 
     async def append(self, topic: Topic, query: dict[str, str], body: bytes) -> Any:
-        """Append records, all or nothing."""
+        """Append the records of a body, all or nothing."""
         offset = topic.end
         for record in split_records(bytes(READ_HEADER.size) + body):
             topic.append(record)
@@ -135,7 +136,7 @@
         return answer_json({"offset": offset, "end": topic.end})
 
     async def read(self, topic: Topic, query: dict[str, str], body: bytes) -> Response:
-        """Read records, waiting for the first one."""
+        """Read records; wait for the first one if there is none yet."""
         start = int(query["from"])
         if start < topic.first:
             return answer_json({"first": topic.first}, HTTPStatus.GONE)
@@ -167,6 +168,6 @@
 
 
 def answer_json(body: Any, status: int = HTTPStatus.OK) -> Response:
-    """Return an answer with a JSON body."""
+    """Build a response with a JSON body."""
     content = Content(b"application/json", msgspec.json.encode(body))
     return Response(int(status), None, content)
--- a/src/wagtailstep/platform/store.py
+++ b/src/wagtailstep/platform/store.py
@@ -20,7 +20,7 @@
 from wagtailstep.platform.settings import StoreSettings
 from wagtailstep.utils.clock import Clock
 
-# ``keyed.op`` belongs to the operator; its record ``config`` is the table.
+# The operator owns ``keyed.op``; its record ``config`` contains the table.
 TOPICS = {
     Collection.TABLE: "keyed.op",
     Collection.MEMBERS: "keyed.wagtailstep-members",
@@ -29,7 +29,7 @@
 RECORD_LENGTH = struct.Struct(">I")
 READ_HEADER = struct.Struct(">QQ")
 MAX_PAGES = 100
-# The store answers these before it does anything.
+# The store responds with these before a call has any effect.
 STATUSES_WITHOUT_EFFECT = frozenset(
     {
         HTTPStatus.BAD_REQUEST,
@@ -44,17 +44,17 @@
 
 
 class NewestItem(msgspec.Struct):
-    """Newest record of one key; ``value`` is base64."""
+    """Newest record of a key; ``value`` is base64-encoded."""
 
     key: str
     value: str
 
 
 class NewestPage(msgspec.Struct, rename="kebab"):
-    """Answer of ``log-newest``.
+    """Response to ``log-newest``.
 
-    :param items: records, in the order of their keys.
-    :param end: offset that the next record of the partition gets.
+    :param items: records, ordered by key.
+    :param end: offset of the next record of the partition.
     :param has_more: whether another page follows the last key.
     """
 
@@ -64,7 +64,9 @@
 
 
 class ExpiredReply(msgspec.Struct):
-    """Answer 410; ``first`` is the oldest offset that can be read."""
+    """Body of a response with status 410.
+
+    :param first: oldest offset that can be read."""
 
     first: int = 0
 
@@ -72,8 +74,8 @@
 class PlatformStore:
     """Collections kept in topics of the store; see :class:`KeyedStore`.
 
-    :param settings: where the store is.
-    :param clock: ages kept connections.
+    :param settings: settings of the connection to the store.
+    :param clock: clock for the age of idle connections.
     """
 
     def __init__(self, settings: StoreSettings, clock: Clock) -> None:
@@ -84,7 +86,8 @@
         """Read all records, page by page."""
         values: dict[str, bytes] = {}
         after = ""
-        # Pages are no snapshot: changes since the first page are read after it.
+        # The pages are not a consistent snapshot: later changes have to be read from
+        # the end offset of the first page on.
         first_end: int | None = None
         for _ in range(MAX_PAGES):
             query = f"topic={TOPICS[collection]}&part=0{after}"
@@ -100,7 +103,7 @@
     async def read_changes(
         self, collection: Collection, offset: int, wait: timedelta
     ) -> KeyedRecords:
-        """Wait for records from an offset on."""
+        """Wait for records from an offset on and return them."""
         query = f"topic={TOPICS[collection]}&part=0&from={offset}"
         path = f"/v1/log-read?{query}&wait-ms={wait // MILLISECOND}"
         reply = await self.calls.read(path, wait + self.timeout)
@@ -115,74 +118,82 @@
         return KeyedRecords(values, next_offset)
 
     async def put(self, collection: Collection, key: str, value: bytes) -> None:
-        """Append the newest record of a key."""
+        """Append a record that becomes the newest one of its key."""
         record = bytes([len(key.encode())]) + key.encode() + value
         body = RECORD_LENGTH.pack(len(record)) + record
         path = f"/v1/log-append?topic={TOPICS[collection]}&part=0"
         reply = await self.calls.append(path, body, self.timeout)
         if reply.status in STATUSES_WITHOUT_EFFECT:
-            raise LogUnavailableError(f"the store refused an append: {reply.status}")
+            raise LogUnavailableError(
+                f"the store rejected an append with status {reply.status}"
+            )
         if reply.status != HTTPStatus.OK:
-            raise AppendUnknownError(f"the store answered an append: {reply.status}")
+            raise AppendUnknownError(
+                f"the store responded to an append with status {reply.status}"
+            )
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         self.calls.close()
 
 
 def get_ok_body(reply: HttpReply) -> bytes:
-    """Return the body of a good answer.
+    """Return the body of a response with status 200.
 
-    :raises LogUnavailableError: if it is another one.
+    :raises LogUnavailableError: if it has another status.
     """
     if reply.status != HTTPStatus.OK:
-        raise LogUnavailableError(f"the store answered with status {reply.status}")
+        raise LogUnavailableError(f"the store responded with status {reply.status}")
     return reply.body
 
 
 def decode_json(body: bytes, kind: type[_T]) -> _T:
     """Decode a JSON body.
 
-    :raises LogUnavailableError: if it is something else.
+    :raises LogUnavailableError: if it is malformed.
     """
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.MsgspecError as error:
         raise LogUnavailableError(
-            f"the store's answer is malformed: {error}"
+            f"the store's response is malformed: {error}"
         ) from error
 
 
 def decode_items(items: list[NewestItem]) -> dict[str, bytes]:
     """Return the values of newest records by key.
 
-    :raises LogUnavailableError: if one is not base64.
+    :raises LogUnavailableError: if a value is not valid base64.
     """
     try:
         return {item.key: base64.b64decode(item.value, validate=True) for item in items}
     except binascii.Error as error:
-        raise LogUnavailableError(f"a record is not base64: {error}") from error
+        raise LogUnavailableError(f"a record is not valid base64: {error}") from error
 
 
 def split_records(body: bytes) -> Iterator[bytes]:
-    """Yield the records of a read, which follow two offsets.
+    """Yield the records in a response to ``log-read``, which follow two offsets.
 
-    :raises LogUnavailableError: if the body ends within a record.
+    :raises LogUnavailableError: if the body is truncated within a record.
     """
     position = READ_HEADER.size
     while position < len(body):
         start = position + RECORD_LENGTH.size
         if start > len(body):
-            raise LogUnavailableError("the store's answer ends within a record")
+            raise LogUnavailableError(
+                "the store's response is truncated within a record"
+            )
         (length,) = RECORD_LENGTH.unpack_from(body, position)
         position = start + length
         if position > len(body):
-            raise LogUnavailableError("the store's answer ends within a record")
+            raise LogUnavailableError(
+                "the store's response is truncated within a record"
+            )
         yield body[start:position]
 
 
 def parse_keyed_record(record: bytes) -> tuple[str, bytes]:
-    """Split a keyed record into key and value."""
+    """Split a keyed record into key and value; both are empty if it is malformed."""
     if not record or len(record) < 1 + record[0]:
         return "", b""
     end = 1 + record[0]
