--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -26,7 +26,7 @@
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.network.table_follower import TableFollower
 from wagtailstep.platform.configuration import build_table, find_document
-from wagtailstep.platform.heartbeats import HeartbeatRoutes
+from wagtailstep.platform.heartbeats import HeartbeatHandler
 from wagtailstep.platform.settings import PlatformSettings, StoreSettings
 from wagtailstep.platform.stand_in import StandInStore
 from wagtailstep.platform.store import PlatformStore
@@ -182,7 +182,7 @@
 
 def read_heartbeat(body):
     """Return the announcement of a heartbeat, or ``None``."""
-    routes = HeartbeatRoutes(lambda event: None, SETTINGS, LoopClock())
+    routes = HeartbeatHandler(lambda event: None, SETTINGS, LoopClock())
     try:
         return routes.parse_heartbeat("i-1", body)
     except (msgspec.MsgspecError, BadRequestError, DecodeError):
--- a/src/wagtailstep/cli/fakes.py
+++ b/src/wagtailstep/cli/fakes.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class RunTime:
+class RunTimeSettings:
     """Run time of a stand-in.
 
     :param run_time_s: seconds after which the program exits on its own.
@@ -29,7 +29,7 @@
     run_time_s: float = positive(3_600.0)
 
 
-def check_settings_arguments(cls: type[_T], **values: Any) -> _T:
+def build_settings(cls: type[_T], **values: Any) -> _T:
     """Build a settings class from arguments, with the checks of settings files.
 
     :raises SettingsError: if an argument is invalid; the message names it.
@@ -54,14 +54,14 @@
     :param run_time_s: seconds after which the program exits on its own.
     """
     host, port = split_address(str(address))
-    faults = check_settings_arguments(
+    faults = build_settings(
         LogFaults,
         retention_s=retention_s,
         retention_records=retention_records,
         appends_per_s=appends_per_s,
     )
     limit = timedelta(
-        seconds=check_settings_arguments(RunTime, run_time_s=run_time_s).run_time_s
+        seconds=build_settings(RunTimeSettings, run_time_s=run_time_s).run_time_s
     )
 
     def print_address(bound_port: int) -> None:
@@ -91,7 +91,7 @@
     :param cold_start_ms: time after the start until it reaches full speed.
     :param seed: seed of the random generator.
     """
-    settings = check_settings_arguments(
+    settings = build_settings(
         BackendServerSettings,
         service=service,
         address=address,
--- a/src/wagtailstep/cli/run.py
+++ b/src/wagtailstep/cli/run.py
@@ -28,7 +28,7 @@
 )
 
 
-def exit_code_of(error: WagtailstepError) -> int:
+def get_exit_code(error: WagtailstepError) -> int:
     """Return the exit code for an error."""
     return next(
         code for error_type, code in _EXIT_CODES if isinstance(error, error_type)
@@ -58,7 +58,7 @@
         return stop.code
     except WagtailstepError as error:
         print_error(str(error))
-        return exit_code_of(error)
+        return get_exit_code(error)
     except KeyboardInterrupt:
         return status_codes.ERROR
 
--- a/src/wagtailstep/commands/explain_request.py
+++ b/src/wagtailstep/commands/explain_request.py
@@ -55,23 +55,25 @@
 
     :param lines: lines of all daemons; those of one daemon in their logged order.
     """
-    request_lines = [line for line in lines if is_part_of(line, request_id)]
-    ordered = sort_lines(request_lines)
-    end = find_end_event(ordered, request_id)
-    beliefs = select_relevant_beliefs(lines, ordered, end) if end is not None else []
-    cause = determine_cause(ordered, beliefs, request_id)
+    request_lines = [line for line in lines if belongs_to_request(line, request_id)]
+    ordered_lines = sort_causally(request_lines)
+    end = find_end_event(ordered_lines, request_id)
+    beliefs = (
+        select_relevant_beliefs(lines, ordered_lines, end) if end is not None else []
+    )
+    cause = determine_cause(ordered_lines, beliefs, request_id)
     if not request_lines and (dropped := count_dropped_lines(lines)):
         cause += f"; {dropped} log lines were dropped because their reader was too slow"
-    return RequestExplanation(request_id, ordered, beliefs, cause)
+    return RequestExplanation(request_id, ordered_lines, beliefs, cause)
 
 
-def is_part_of(line: LogLine, request_id: str) -> bool:
+def belongs_to_request(line: LogLine, request_id: str) -> bool:
     """Return whether a line belongs to a request or one of its nested calls."""
     found = line.request_id
     return found == request_id or found.startswith(f"{request_id}.")
 
 
-def sort_lines(lines: Sequence[LogLine]) -> list[LogLine]:
+def sort_causally(lines: Sequence[LogLine]) -> list[LogLine]:
     """Sort by time, but place the end of a request after all of its other events.
 
     Clock skew between daemons is a few milliseconds, as long as a network hop takes.
@@ -144,8 +146,8 @@
         return f"a call to {call.get('service') or 'a service'} failed: {because}"
     work = find_last_failed_work(lines, request_id)
     if work is not None and outcome not in OUTCOMES_NOT_CAUSED_BY_WORK:
-        return describe_work(work, beliefs)
-    return describe_end(end, outcome)
+        return describe_failed_work(work, beliefs)
+    return describe_outcome(end, outcome)
 
 
 def determine_cause_without_end(lines: Sequence[LogLine]) -> str:
@@ -178,7 +180,7 @@
     return failed[-1] if failed else None
 
 
-def describe_work(work: LogLine, beliefs: Sequence[Belief]) -> str:
+def describe_failed_work(work: LogLine, beliefs: Sequence[Belief]) -> str:
     """Describe a backend server's failure and the standing it had before."""
     target = work.get("target")
     verbs = {
@@ -204,7 +206,7 @@
     )
 
 
-def describe_end(end: LogLine, outcome: str) -> str:
+def describe_outcome(end: LogLine, outcome: str) -> str:
     """Describe why an entry ended a request for which no work failed."""
     if outcome == "overloaded":
         asked = end.get("gates_full") or "some"
@@ -246,12 +248,12 @@
             ).append(line)
     causes: Counter[str] = Counter()
     for request_id, request_lines in lines_by_caller_request.items():
-        ordered = sort_lines(request_lines)
-        if find_end_event(ordered, request_id) is None:
+        ordered_lines = sort_causally(request_lines)
+        if find_end_event(ordered_lines, request_id) is None:
             continue
-        cause = determine_cause(ordered, [], request_id)
+        cause = determine_cause(ordered_lines, [], request_id)
         if cause != "served":
-            causes[replace_target_names(cause, ordered)] += 1
+            causes[replace_target_names(cause, ordered_lines)] += 1
     return causes
 
 
--- a/src/wagtailstep/commands/table_watch.py
+++ b/src/wagtailstep/commands/table_watch.py
@@ -29,13 +29,13 @@
     :param run_time: how long to watch.
     :param print_line: called with each line of output.
     """
-    end = client.clock.monotonic() + run_time
+    deadline = client.clock.monotonic() + run_time
     last_version: int | None = None
     last_summary = ""
-    while client.clock.monotonic() < end:
+    while client.clock.monotonic() < deadline:
         fold = await read_fold_or_none(client)
         if fold is not None:
-            for line in list_new_edits(fold, last_version):
+            for line in format_new_edits(fold, last_version):
                 print_line(line)
             last_version = fold.version
         *_, summary = describe_reports(fold, await query_daemons(daemons, addresses))
@@ -53,7 +53,7 @@
         return None
 
 
-def list_new_edits(fold: TableFold, last_version: int | None) -> Iterator[str]:
+def format_new_edits(fold: TableFold, last_version: int | None) -> Iterator[str]:
     """Return lines for the edits after a version, oldest first.
 
     :param last_version: the version; ``None`` returns no lines."""
--- a/src/wagtailstep/fakes/backend_server.py
+++ b/src/wagtailstep/fakes/backend_server.py
@@ -141,15 +141,15 @@
 
     async def handle_health(self, request: Request) -> Response:
         """Report a healthy server, regardless of the faults."""
-        return answer_json({"status": "ok"})
+        return build_json_response({"status": "ok"})
 
     async def handle_load(self, request: Request) -> Response:
         """Report an idle server, regardless of the load."""
-        return answer_json({"running": 0, "slots": self.settings.slots})
+        return build_json_response({"running": 0, "slots": self.settings.slots})
 
     async def handle_counts(self, request: Request) -> Response:
         """Return the counters."""
-        return answer_json(self.counts)
+        return build_json_response(self.counts)
 
     async def handle_set_faults(self, request: Request) -> Response:
         """Replace the injected faults."""
@@ -157,14 +157,14 @@
         try:
             self.faults = read_faults(msgspec.json.decode(data))
         except (SettingsError, msgspec.MsgspecError) as error:
-            return answer_json({"error": str(error)}, 400)
-        return answer_json(self.faults)
+            return build_json_response({"error": str(error)}, 400)
+        return build_json_response(self.faults)
 
     async def handle_silence(self, request: Request) -> Response:
         """Stop reading from all open connections except the one of this request."""
         this_connection = request.scope["wagtailstep.connection"]
         self.silence_open_connections(this_connection)
-        return answer_json({"silenced": len(self.silenced_connections)})
+        return build_json_response({"silenced": len(self.silenced_connections)})
 
     def silence_open_connections(self, excluded: object = None) -> None:
         """Stop reading from all open connections permanently.
@@ -179,7 +179,7 @@
     async def handle_drain(self, request: Request) -> Response:
         """Start draining in the background."""
         self.drain_task = asyncio.create_task(self.drain())
-        return answer_json({"leaving": True})
+        return build_json_response({"leaving": True})
 
     async def handle_work(self, request: Request) -> Response:
         """Run a work request, or shed it if the queue is full."""
@@ -255,7 +255,7 @@
     return handler
 
 
-def answer_json(value: object, status: int = 200) -> Response:
+def build_json_response(value: object, status: int = 200) -> Response:
     """Build a response with a JSON body."""
     return Response(status, content=Content(b"application/json", encode(value)))
 
--- a/src/wagtailstep/platform/configuration.py
+++ b/src/wagtailstep/platform/configuration.py
@@ -23,7 +23,7 @@
 DURATION_UNITS = {"ms": timedelta(milliseconds=1), "s": timedelta(seconds=1)}
 
 
-class Columns(msgspec.Struct):
+class ColumnarList(msgspec.Struct):
     """A list of objects, encoded as field names and rows of values."""
 
     columns: list[str]
@@ -80,7 +80,7 @@
     """The operator's record ``config``."""
 
     version: str
-    routes: Columns
+    routes: ColumnarList
     limits: Limits = Limits()
 
 
--- a/src/wagtailstep/platform/heartbeats.py
+++ b/src/wagtailstep/platform/heartbeats.py
@@ -39,7 +39,7 @@
     born: int = 0
 
 
-class HeartbeatRoutes:
+class HeartbeatHandler:
     """Converts heartbeats into events; logs and rejects malformed ones.
 
     :param dispatch: called with each event.
@@ -107,14 +107,14 @@
     clock: Clock,
 ) -> None:
     """Add the routes for heartbeats to an application."""
-    routes = HeartbeatRoutes(dispatch, settings, clock)
+    handler = HeartbeatHandler(dispatch, settings, clock)
 
     # The router sets attributes on its handlers, which only works for functions.
     async def handle_heartbeat(request: Request) -> Response:
-        return await routes.handle_heartbeat(request)
+        return await handler.handle_heartbeat(request)
 
     async def handle_withdrawal(request: Request) -> Response:
-        return await routes.handle_withdrawal(request)
+        return await handler.handle_withdrawal(request)
 
     app.router.add("PUT", INSTANCE_PATH, handle_heartbeat)
     app.router.add("DELETE", INSTANCE_PATH, handle_withdrawal)
--- a/src/wagtailstep/platform/stand_in.py
+++ b/src/wagtailstep/platform/stand_in.py
@@ -14,7 +14,7 @@
     READ_HEADER,
     RECORD_LENGTH,
     parse_keyed_record,
-    split_records,
+    parse_records,
 )
 
 UNANSWERED_CALL_S = 3_600.0
@@ -25,21 +25,21 @@
     """Records of a topic in its only partition, 0.
 
     :param records: records with their offsets.
-    :param end: offset of the next record.
-    :param first: oldest offset that can be read.
+    :param next_offset: offset of the next record.
+    :param oldest_offset: oldest offset that can be read.
     :param appended: set when the next record is appended.
     """
 
     records: list[tuple[int, bytes]] = attrs.field(factory=list)
-    end: int = 0
-    first: int = 0
+    next_offset: int = 0
+    oldest_offset: int = 0
     appended: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def append(self, record: bytes) -> int:
         """Append a record and return its offset."""
-        offset = self.end
+        offset = self.next_offset
         self.records.append((offset, record))
-        self.end += 1
+        self.next_offset += 1
         self.appended.set()
         self.appended = asyncio.Event()
         return offset
@@ -50,7 +50,7 @@
             parse_keyed_record(record)[0]: (at, record) for at, record in self.records
         }
         self.records = sorted(newest.values())
-        self.first = self.end
+        self.oldest_offset = self.next_offset
 
 
 @attrs.define
@@ -78,7 +78,7 @@
         self.calls: list[str] = []
         self.app = Application(router=Router())
         self.server = HttpServer(self.app, lambda: None)
-        self.add_routes()
+        self.register_endpoints()
 
     async def start(self, address: str) -> str:
         """Listen on ``host:port`` and return the bound address."""
@@ -94,7 +94,7 @@
         name = key.encode()
         self.get_topic(topic).append(bytes([len(name)]) + name + value)
 
-    def add_routes(self) -> None:
+    def register_endpoints(self) -> None:
         """Register the endpoints."""
 
         async def append(request: Request) -> Response:
@@ -127,26 +127,26 @@
 
     async def append(self, topic: Topic, query: dict[str, str], body: bytes) -> Any:
         """Append the records of a body, all or nothing."""
-        offset = topic.end
-        for record in split_records(bytes(READ_HEADER.size) + body):
+        offset = topic.next_offset
+        for record in parse_records(bytes(READ_HEADER.size) + body):
             topic.append(record)
         if self.faults.lost_answers:
             self.faults.lost_answers -= 1
             await asyncio.sleep(UNANSWERED_CALL_S)
-        return answer_json({"offset": offset, "end": topic.end})
+        return build_json_response({"offset": offset, "end": topic.next_offset})
 
     async def read(self, topic: Topic, query: dict[str, str], body: bytes) -> Response:
         """Read records; wait for the first one if there is none yet."""
         start = int(query["from"])
-        if start < topic.first:
-            return answer_json({"first": topic.first}, HTTPStatus.GONE)
-        if start >= topic.end:
+        if start < topic.oldest_offset:
+            return build_json_response({"first": topic.oldest_offset}, HTTPStatus.GONE)
+        if start >= topic.next_offset:
             wait_s = int(query.get("wait-ms", "0")) / 1_000
             try:
                 await asyncio.wait_for(topic.appended.wait(), wait_s)
             except TimeoutError:
                 pass
-        data = READ_HEADER.pack(topic.end, topic.first)
+        data = READ_HEADER.pack(topic.next_offset, topic.oldest_offset)
         for offset, record in topic.records:
             if offset >= start:
                 data += RECORD_LENGTH.pack(len(record)) + record
@@ -164,10 +164,12 @@
             {"key": key, "value": base64.b64encode(value).decode(), "offset": offset}
             for key, (offset, value) in sorted(newest.items())
         ]
-        return answer_json({"items": items, "has-more": False, "end": topic.end})
+        return build_json_response(
+            {"items": items, "has-more": False, "end": topic.next_offset}
+        )
 
 
-def answer_json(body: Any, status: int = HTTPStatus.OK) -> Response:
+def build_json_response(body: Any, status: int = HTTPStatus.OK) -> Response:
     """Build a response with a JSON body."""
     content = Content(b"application/json", msgspec.json.encode(body))
     return Response(int(status), None, content)
--- a/src/wagtailstep/platform/store.py
+++ b/src/wagtailstep/platform/store.py
@@ -111,7 +111,7 @@
             raise RecordExpiredError(decode_json(reply.body, ExpiredReply).first)
         values: dict[str, bytes] = {}
         next_offset = offset
-        for record in split_records(get_ok_body(reply)):
+        for record in parse_records(get_ok_body(reply)):
             next_offset += 1
             key, value = parse_keyed_record(record)
             values[key] = value
@@ -171,7 +171,7 @@
         raise LogUnavailableError(f"a record is not valid base64: {error}") from error
 
 
-def split_records(body: bytes) -> Iterator[bytes]:
+def parse_records(body: bytes) -> Iterator[bytes]:
     """Yield the records in a response to ``log-read``, which follow two offsets.
 
     :raises LogUnavailableError: if the body is truncated within a record.
