--- a/features/table_program.feature
+++ b/features/table_program.feature
@@ -158,4 +158,4 @@
       | daemon | message                          |
       | d1:1   | has version 1 of the table       |
       | d2:1   | the log still has version 1      |
-      | d3:1   | does not answer                  |
+      | d3:1   | does not respond                 |
--- a/src/wagtailstep/commands/explain_request.py
+++ b/src/wagtailstep/commands/explain_request.py
@@ -76,7 +76,8 @@
 def sort_causally(lines: Sequence[LogLine]) -> list[LogLine]:
     """Sort by time, but place the end of a request after all of its other events.
 
-    Clock skew between daemons is a few milliseconds, as long as a network hop takes.
+    Time alone doesn't suffice: clocks of daemons differ by a few milliseconds, which
+    is as much as a network hop takes.
     """
     latest: dict[str, datetime] = {}
     for line in lines:
@@ -153,7 +154,7 @@
 def determine_cause_without_end(lines: Sequence[LogLine]) -> str:
     """Describe the cause if no entry logged the end of a request."""
     if any(line.event == "work-ended" for line in lines):
-        return "its entry stopped or was partitioned before it had a response"
+        return "its entry stopped or was interrupted before it had a response"
     if lines:
         return "its entry logged no end; it was stopped or its lines are missing"
     return "no daemon logged a line for it"
--- a/src/wagtailstep/commands/fleet_beliefs.py
+++ b/src/wagtailstep/commands/fleet_beliefs.py
@@ -72,26 +72,26 @@
     :param lines: lines of all daemons; those of one daemon in their logged order.
     :param span: changes within this time before and after are included.
     """
-    held = find_beliefs_at(lines, at)
+    beliefs = find_beliefs_at(lines, at)
     members = Counter(
         f"{line.get('member')} {line.get('state')}"
-        for line in held
+        for line in beliefs
         if line.event == MEMBER_EVENT and line.get("state") != "alive"
     )
     return FleetBeliefs(
         tables=Counter(
-            line.get("version") for line in held if line.event == TABLE_EVENT
+            line.get("version") for line in beliefs if line.event == TABLE_EVENT
         ),
         standings={
             line.get("target"): line.get("standing")
-            for line in held
+            for line in beliefs
             if line.event == STANDING_EVENT
             and line.get("standing") in ("doubted", "failing")
         },
         members=members,
         without_store=sorted(
             line.process
-            for line in held
+            for line in beliefs
             if line.event == STORE_EVENT and line.get("reachable") == "False"
         ),
         changes=sorted(
--- a/src/wagtailstep/platform/store.py
+++ b/src/wagtailstep/platform/store.py
@@ -66,7 +66,8 @@
 class ExpiredReply(msgspec.Struct):
     """Body of a response with status 410.
 
-    :param first: oldest offset that can be read."""
+    :param first: oldest offset that can be read.
+    """
 
     first: int = 0
 
