--- a/src/wagtailstep/cli/table.py
+++ b/src/wagtailstep/cli/table.py
@@ -245,14 +245,14 @@
 
     async def read_outcome() -> Iterable[str]:
         fold = await create_table_client(log).read_fold()
-        found = fold.outcome_of(str(edit_id))
-        if found is None:
+        edit_outcome = fold.outcome_of(str(edit_id))
+        if edit_outcome is None:
             raise AppendUnknownError(
                 f"edit {edit_id} is not in the log; it may still be appended if the "
                 f"program that submitted it ended less than a minute ago"
             )
-        check_outcome(found)
-        return [f"accepted edit={edit_id} version={found.version}"]
+        check_outcome(edit_outcome)
+        return [f"accepted edit={edit_id} version={edit_outcome.version}"]
 
     _run(read_outcome)
 
--- a/src/wagtailstep/commands/merge_timeline.py
+++ b/src/wagtailstep/commands/merge_timeline.py
@@ -72,7 +72,7 @@
     that could not be reached are listed under ``otherData``.
     """
     daemons = sorted({event.daemon_id for event in merged.events})
-    numbers = {daemon_id: index + 1 for index, daemon_id in enumerate(daemons)}
+    process_numbers = {daemon_id: index + 1 for index, daemon_id in enumerate(daemons)}
     records: list[dict[str, object]] = [
         {
             "name": "process_name",
@@ -80,7 +80,7 @@
             "pid": number,
             "args": {"name": daemon_id},
         }
-        for daemon_id, number in numbers.items()
+        for daemon_id, number in process_numbers.items()
     ]
     records.extend(
         {
@@ -88,7 +88,7 @@
             "ph": "i",
             "s": "p",
             "ts": round(event.utc.timestamp() * MICROSECONDS_PER_SECOND),
-            "pid": numbers[event.daemon_id],
+            "pid": process_numbers[event.daemon_id],
             "tid": event.incarnation,
             "args": {**event.fields, "lamport": event.lamport},
         }
--- a/src/wagtailstep/commands/report_load.py
+++ b/src/wagtailstep/commands/report_load.py
@@ -33,7 +33,7 @@
 
 def format_row(side: str, name: str, result: ClassResult) -> str:
     """Format one row of the table."""
-    p50, p99 = (result.latency_ms(percent) for percent in PERCENTILES)
+    p50, p99 = (result.latency_ms(percentile) for percentile in PERCENTILES)
     return (
         f"{side:<12} {name:<16} {result.asked:>7} {result.goodput:>7.3f} "
         f"{result.served:>7} {result.refused:>8} {result.failed:>7} "
@@ -65,14 +65,14 @@
             "charts need matplotlib; install wagtailstep[load]"
         ) from error
     figure = Figure(figsize=(10, 4), layout="constrained")
-    by_slice, by_percent = figure.subplots(1, 2)
+    goodput_axes, latency_axes = figure.subplots(1, 2)
     for side in sides:
-        by_slice.plot(side.goodputs(), marker="o", label=side.name)
+        goodput_axes.plot(side.goodputs(), marker="o", label=side.name)
         latencies = sum_up(side.total())
-        percents = [*range(1, 100), 99.5, 99.9]
-        values = [latencies.latency_ms(percent) for percent in percents]
-        by_percent.plot(percents, values, label=side.name)
-    by_slice.set(xlabel="slice", ylabel="share answered in aim", ylim=(0, 1.02))
-    by_percent.set(xlabel="percentile", ylabel="latency (ms)", yscale="log")
-    by_slice.legend()
+        percentiles = [*range(1, 100), 99.5, 99.9]
+        values = [latencies.latency_ms(percentile) for percentile in percentiles]
+        latency_axes.plot(percentiles, values, label=side.name)
+    goodput_axes.set(xlabel="slice", ylabel="share answered in aim", ylim=(0, 1.02))
+    latency_axes.set(xlabel="percentile", ylabel="latency (ms)", yscale="log")
+    goodput_axes.legend()
     figure.savefig(path, format="png")
--- a/src/wagtailstep/commands/run_backend_server.py
+++ b/src/wagtailstep/commands/run_backend_server.py
@@ -24,6 +24,6 @@
     """Serve until a signal requests shutdown, then drain all stand-ins."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     await asyncio.gather(*(serve(settings, stop) for settings in servers))
--- a/src/wagtailstep/commands/run_daemon.py
+++ b/src/wagtailstep/commands/run_daemon.py
@@ -45,8 +45,8 @@
     """Serve until a signal requests shutdown."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     reloader = SettingsReloader(settings, reread_settings)
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     daemon = create_daemon()
@@ -77,8 +77,8 @@
 
 
 def _flatten(group: BaseExceptionGroup) -> list[BaseException]:
-    leaves: list[BaseException] = []
+    errors: list[BaseException] = []
     for error in group.exceptions:
         is_group = isinstance(error, BaseExceptionGroup)
-        leaves.extend(_flatten(error) if is_group else [error])
-    return leaves
+        errors.extend(_flatten(error) if is_group else [error])
+    return errors
--- a/src/wagtailstep/commands/table_csv.py
+++ b/src/wagtailstep/commands/table_csv.py
@@ -66,8 +66,8 @@
     _check_header(list(reader.fieldnames or []))
     rows: dict[RowId, Row] = {}
     versions: set[str] = set()
-    for line in reader:
-        cells = _clean_line(line, reader.line_num)
+    for record in reader:
+        cells = _clean_line(record, reader.line_num)
         row_id = RowId(parse_kind(cells.pop(KIND_COLUMN)), cells.pop(KEY_COLUMN))
         versions.add(cells.pop(VERSION_COLUMN, ""))
         if row_id in rows:
@@ -90,10 +90,10 @@
             )
 
 
-def _clean_line(line: dict[str | None, str | None], number: int) -> dict[str, str]:
-    if None in line:
+def _clean_line(record: dict[str | None, str | None], number: int) -> dict[str, str]:
+    if None in record:
         raise CellError(f"line {number}: more cells than the header has columns")
-    return {name: (text or "").strip() for name, text in line.items() if name}
+    return {name: (text or "").strip() for name, text in record.items() if name}
 
 
 def _drop_empty(row_id: RowId, cells: dict[str, str]) -> dict[str, str]:
--- a/src/wagtailstep/commands/table_edit.py
+++ b/src/wagtailstep/commands/table_edit.py
@@ -61,10 +61,10 @@
             "no row has a base_version, which must be the exported version; "
             "export the table and edit that file, or use import"
         )
-    base = fold.table
+    base_table = fold.table
     if file.base_version != fold.version:
-        base = await client.read_table(file.base_version)
-    changes = compute_changes(base, file.rows)
+        base_table = await client.read_table(file.base_version)
+    changes = compute_changes(base_table, file.rows)
     _check_removals(changes, remove)
     return file.base_version, changes
 
--- a/src/wagtailstep/fakes/backend_server.py
+++ b/src/wagtailstep/fakes/backend_server.py
@@ -229,10 +229,10 @@
         """Record how long after the start of the drain new work arrived."""
         if self.drain_started_at is None:
             return
-        late = (self.clock.monotonic() - self.drain_started_at) / timedelta(
+        delay_ms = (self.clock.monotonic() - self.drain_started_at) / timedelta(
             milliseconds=1
         )
-        self.counts.late_work_ms = max(self.counts.late_work_ms, late)
+        self.counts.late_work_ms = max(self.counts.late_work_ms, delay_ms)
 
     def work_time_s(self, work: Work, faults: Faults) -> float:
         """Return the processing time of a request in seconds."""
--- a/src/wagtailstep/fakes/log_server.py
+++ b/src/wagtailstep/fakes/log_server.py
@@ -140,7 +140,7 @@
         timeout_graceful_shutdown=1,
     )
     server = uvicorn.Server(config)
-    watcher = asyncio.create_task(_stop_when_due(server, on_started, stop, run_time))
+    stop_task = asyncio.create_task(_stop_when_due(server, on_started, stop, run_time))
     try:
         await server.serve()
     except SystemExit as error:
@@ -148,22 +148,22 @@
             f"can't listen on {host}:{port}; choose another address"
         ) from error
     finally:
-        watcher.cancel()
+        stop_task.cancel()
 
 
 async def _stop_when_due(
     server: uvicorn.Server,
     on_started: Callable[[int], None] | None,
-    stop: asyncio.Event | None,
+    stop_event: asyncio.Event | None,
     run_time: timedelta | None,
 ) -> None:
     while not server.started:
         await asyncio.sleep(0.01)
     if on_started is not None:
         on_started(server.servers[0].sockets[0].getsockname()[1])
-    limit = None if run_time is None else run_time.total_seconds()
+    run_time_s = None if run_time is None else run_time.total_seconds()
     try:
-        await asyncio.wait_for((stop or asyncio.Event()).wait(), limit)
+        await asyncio.wait_for((stop_event or asyncio.Event()).wait(), run_time_s)
     except TimeoutError:
         pass
     server.should_exit = True
--- a/src/wagtailstep/fakes/work.py
+++ b/src/wagtailstep/fakes/work.py
@@ -7,9 +7,9 @@
 import xxhash
 from blacksheep import Content, Request, Response, StreamedContent
 
-WORK_MS = b"fake-work-ms"
-KEY = b"fake-key"
-ANSWER_BYTES = b"fake-answer-bytes"
+WORK_TIME_HEADER = b"fake-work-ms"
+KEY_HEADER = b"fake-key"
+ANSWER_BYTES_HEADER = b"fake-answer-bytes"
 CHUNK_BYTES = 16_384
 
 
@@ -65,7 +65,7 @@
             ``None``.
         """
         headers = [
-            (KEY, self.key.encode()),
+            (KEY_HEADER, self.key.encode()),
             (b"fake-address", address.encode()),
             (b"fake-body-bytes", str(self.body_bytes).encode()),
             (b"fake-body-digest", self.body_digest.encode()),
@@ -103,10 +103,10 @@
         size += len(chunk)
     path = request.url.path.decode()
     return Work(
-        key=(request.get_first_header(KEY) or b"").decode(),
+        key=(request.get_first_header(KEY_HEADER) or b"").decode(),
         route=path.strip("/").partition("/")[0],
-        work_ms=float(request.get_first_header(WORK_MS) or default_ms),
-        answer_bytes=int(request.get_first_header(ANSWER_BYTES) or 0),
+        work_ms=float(request.get_first_header(WORK_TIME_HEADER) or default_ms),
+        answer_bytes=int(request.get_first_header(ANSWER_BYTES_HEADER) or 0),
         body_bytes=size,
         body_digest=digest.hexdigest(),
     )
--- a/src/wagtailstep/platform/stand_in.py
+++ b/src/wagtailstep/platform/stand_in.py
@@ -46,10 +46,10 @@
 
     def compact(self) -> None:
         """Drop all but the newest record of each key, and expire earlier offsets."""
-        newest = {
+        newest_records = {
             parse_keyed_record(record)[0]: (at, record) for at, record in self.records
         }
-        self.records = sorted(newest.values())
+        self.records = sorted(newest_records.values())
         self.oldest_offset = self.next_offset
 
 
--- a/src/wagtailstep/platform/store.py
+++ b/src/wagtailstep/platform/store.py
@@ -86,20 +86,20 @@
     async def read_newest(self, collection: Collection) -> KeyedRecords:
         """Read all records, page by page."""
         values: dict[str, bytes] = {}
-        after = ""
+        after_parameter = ""
         # The pages are not a consistent snapshot: later changes have to be read from
         # the end offset of the first page on.
-        first_end: int | None = None
+        first_page_end: int | None = None
         for _ in range(MAX_PAGES):
-            query = f"topic={TOPICS[collection]}&part=0{after}"
+            query = f"topic={TOPICS[collection]}&part=0{after_parameter}"
             reply = await self.calls.read(f"/v1/log-newest?{query}", self.timeout)
             page = decode_json(get_ok_body(reply), NewestPage)
-            first_end = page.end if first_end is None else first_end
+            first_page_end = page.end if first_page_end is None else first_page_end
             values.update(decode_items(page.items))
             if not page.has_more or not page.items:
                 break
-            after = f"&after={page.items[-1].key}"
-        return KeyedRecords(values, first_end or 0)
+            after_parameter = f"&after={page.items[-1].key}"
+        return KeyedRecords(values, first_page_end or 0)
 
     async def read_changes(
         self, collection: Collection, offset: int, wait: timedelta
