--- a/features/programs.feature
+++ b/features/programs.feature
@@ -4,27 +4,27 @@
     Then it ends with code <code> and one line that contains "<text>"
 
     Examples:
-      | program  | arguments                                  | code | text                           |
-      | daemon   |                                            | 2    | no command was given           |
-      | daemon   | run                                        | 2    | file                           |
-      | daemon   | run /nowhere.json                          | 2    | /nowhere.json: can't be read   |
-      | daemon   | check examples/daemon.json more            | 2    | more                           |
-      | daemon   | stop                                       | 2    | stop                           |
-      | timeline | show                                       | 2    | no daemon was named            |
-      | timeline | show --format=xml a:1                      | 2    | give text or chrome            |
-      | timeline | around noon x.log                          | 2    | 'noon' is not allowed          |
-      | timeline | causes                                     | 2    | no log was named               |
-      | timeline | show nowhere                               | 2    | give host:port                 |
-      | fakes    | log --address=nowhere                      | 2    | 'nowhere'                      |
-      | fakes    | log --appends_per_s=many                   | 2    | key appends_per_s: 'many'      |
-      | fakes    | log --run_time_s=0                         | 2    | key run_time_s: 0              |
-      | fakes    | backend                                    | 2    | service                        |
-      | fakes    | backend contracts --slots=abc              | 2    | key slots: 'abc'               |
-      | fakes    | backend contracts --slots=0                | 2    | key slots: 0                   |
-      | fakes    | backend contracts --address=1:1:1          | 2    | key address: '1:1:1'           |
-      | fakes    | backend contracts --address=host.invalid:1 | 2    | can't be listened on           |
-      | fakes    | backends /nowhere.json                     | 2    | /nowhere.json: can't be read   |
-      | platform | check                                      | 2    | it must name the settings file |
+      | program  | arguments                                  | code | text                         |
+      | daemon   |                                            | 2    | no command was given         |
+      | daemon   | run                                        | 2    | file                         |
+      | daemon   | run /nowhere.json                          | 2    | /nowhere.json: can't be read |
+      | daemon   | check examples/daemon.json more            | 2    | more                         |
+      | daemon   | stop                                       | 2    | stop                         |
+      | timeline | show                                       | 2    | no daemon was named          |
+      | timeline | show --format=xml a:1                      | 2    | give text or chrome          |
+      | timeline | around noon x.log                          | 2    | 'noon' is not allowed        |
+      | timeline | causes                                     | 2    | no log was named             |
+      | timeline | show nowhere                               | 2    | give host:port               |
+      | fakes    | log --address=nowhere                      | 2    | 'nowhere'                    |
+      | fakes    | log --appends_per_s=many                   | 2    | key appends_per_s: 'many'    |
+      | fakes    | log --run_time_s=0                         | 2    | key run_time_s: 0            |
+      | fakes    | backend                                    | 2    | service                      |
+      | fakes    | backend contracts --slots=abc              | 2    | key slots: 'abc'             |
+      | fakes    | backend contracts --slots=0                | 2    | key slots: 0                 |
+      | fakes    | backend contracts --address=1:1:1          | 2    | key address: '1:1:1'         |
+      | fakes    | backend contracts --address=host.invalid:1 | 2    | can't be listened on         |
+      | fakes    | backends /nowhere.json                     | 2    | /nowhere.json: can't be read |
+      | platform | check                                      | 2    | it names the settings file   |
 
   Scenario: A daemon whose address is taken says so
     Given a settings file whose caller address is taken
--- a/src/wagtailstep/platform/program.py
+++ b/src/wagtailstep/platform/program.py
@@ -43,7 +43,7 @@
     path = os.environ.get(FILE_VARIABLE)
     if not path:
         raise SettingsError(
-            f"variable {FILE_VARIABLE} is not set; it must name the settings file"
+            f"variable {FILE_VARIABLE} is not set; it names the settings file"
         )
     return read_settings(path, PlatformSettings)
 
