--- a/features/programs.feature
+++ b/features/programs.feature
@@ -24,7 +24,7 @@
       | fakes    | backend contracts --address=1:1:1          | 2    | key address: '1:1:1'         |
       | fakes    | backend contracts --address=host.invalid:1 | 2    | can't be listened on         |
       | fakes    | backends /nowhere.json                     | 2    | /nowhere.json: can't be read |
-      | platform | check                                      | 2    | names no settings file       |
+      | platform | check                                      | 2    | it names the settings file   |
 
   Scenario: A daemon whose address is taken says so
     Given a settings file whose caller address is taken
--- a/src/wagtailstep/cli/daemon.py
+++ b/src/wagtailstep/cli/daemon.py
@@ -14,24 +14,24 @@
 def run(file: str) -> int:
     """Run a daemon until SIGTERM, then shut down gracefully.
 
-    Exit codes: 0 all requests in flight ended, 1 some were cut at the drain limit,
-    2 a setting is wrong.
+    Exit codes: 0 all requests in flight completed, 1 some were aborted at the
+    drain limit, 2 a setting is invalid.
 
     :param file: path of the JSON settings file.
     """
     settings = read_settings(str(file), DaemonSettings)
-    whole = run_daemon(
+    drained = run_daemon(
         settings,
         lambda: LogDaemon(settings, LoopClock()),
         lambda: read_settings(str(file), DaemonSettings),
     )
-    return status_codes.SUCCESS if whole else status_codes.ERROR
+    return status_codes.SUCCESS if drained else status_codes.ERROR
 
 
 def check(file: str) -> int:
-    """Check a settings file and start nothing.
+    """Validate a settings file without starting the daemon.
 
-    Exit codes: 0 the file is right, 2 a setting is wrong.
+    Exit codes: 0 the file is valid, 2 a setting is invalid.
 
     :param file: path of the JSON settings file.
     """
--- a/src/wagtailstep/cli/run.py
+++ b/src/wagtailstep/cli/run.py
@@ -1,4 +1,4 @@
-"""Shared glue of all programs: run a command, turn errors into exit codes."""
+"""Command dispatch of all programs, and the mapping of errors to exit codes."""
 
 import contextlib
 import functools
@@ -28,35 +28,37 @@
 )
 
 
-def exit_code_of(error: WagtailstepError) -> int:
-    """Return the exit code that an error stands for."""
-    return next(code for kind, code in _EXIT_CODES if isinstance(error, kind))
+def get_exit_code(error: WagtailstepError) -> int:
+    """Return the exit code for an error."""
+    return next(
+        code for error_type, code in _EXIT_CODES if isinstance(error, error_type)
+    )
 
 
 def print_error(message: str) -> None:
-    """Print one line to standard error."""
+    """Print a message as one line to standard error."""
     line = " ".join(message.split())
     print(f"error: {line}", file=sys.stderr)
 
 
 def run_program(commands: dict[str, Command] | Command, name: str) -> int:
-    """Run the command that the arguments of the process name.
+    """Run the command selected by the command-line arguments.
 
     A command returns its exit code, or ``None`` for success. It raises a
-    :class:`WagtailstepError` for what the operator can mend.
+    :class:`WagtailstepError` for problems that the operator can fix.
 
-    :param commands: a function, or functions by the names of the commands.
+    :param commands: a function, or a mapping from command names to functions.
     :param name: name of the program.
-    :return: the exit code; 2 for a wrong argument, and then nothing was run.
+    :return: the exit code; 2 for an invalid argument, in which case nothing was run.
     """
     try:
-        call = _parse_arguments(commands, name)
-        return call() or status_codes.SUCCESS
+        deferred_call = _parse_arguments(commands, name)
+        return deferred_call() or status_codes.SUCCESS
     except FireExit as stop:
         return stop.code
     except WagtailstepError as error:
         print_error(str(error))
-        return exit_code_of(error)
+        return get_exit_code(error)
     except KeyboardInterrupt:
         return status_codes.ERROR
 
@@ -64,48 +66,56 @@
 def _parse_arguments(
     commands: dict[str, Command] | Command, name: str
 ) -> Callable[[], int | None]:
-    """Let Fire choose and bind the command, without running it yet.
+    """Let Fire select the command and bind its arguments, without running it.
 
-    Fire calls a function before it complains about arguments that it could not
-    use, so the functions that it sees only keep their arguments.
+    Fire calls a function before it reports arguments that it could not use, so it
+    gets wrappers that only store their arguments.
 
-    :raises SettingsError: if an argument is wrong.
-    :raises FireExit: after the help text was shown.
+    :raises SettingsError: if an argument is invalid.
+    :raises FireExit: after the help text was printed.
     """
-    calls: list[Callable[[], int | None]] = []
-    messages = io.StringIO()
+    deferred_calls: list[Callable[[], int | None]] = []
+    help_output = io.StringIO()
     try:
-        with contextlib.redirect_stderr(messages):
-            fire.Fire(_defer_all(commands, calls), name=name, serialize=_print_none)
+        with contextlib.redirect_stderr(help_output):
+            fire.Fire(
+                _defer_commands(commands, deferred_calls),
+                name=name,
+                serialize=_print_none,
+            )
     except FireExit as stop:
         if stop.code == 0:
-            print(messages.getvalue(), file=sys.stderr)
+            print(help_output.getvalue(), file=sys.stderr)
             raise
         problem = stop.trace.elements[-1].ErrorAsStr()
         raise SettingsError(f"{problem}; see {name} --help") from stop
-    if not calls:
+    if not deferred_calls:
         raise SettingsError(f"no command was given; see {name} --help")
-    return calls[0]
+    return deferred_calls[0]
 
 
 def _print_none(_result: Any) -> None:
     return None
 
 
-def _defer_all(
-    commands: dict[str, Command] | Command, calls: list[Callable[[], int | None]]
+def _defer_commands(
+    commands: dict[str, Command] | Command,
+    deferred_calls: list[Callable[[], int | None]],
 ) -> Any:
     if callable(commands):
-        return _defer(commands, calls)
-    return {name: _defer(command, calls) for name, command in commands.items()}
+        return _defer_command(commands, deferred_calls)
+    return {
+        name: _defer_command(command, deferred_calls)
+        for name, command in commands.items()
+    }
 
 
-def _defer(
-    command: Command, calls: list[Callable[[], int | None]]
+def _defer_command(
+    command: Command, deferred_calls: list[Callable[[], int | None]]
 ) -> Callable[..., None]:
-    # Fire reads the signature and the doc comment through the wrapper.
+    # ``wraps`` keeps the signature and doc comment, which Fire reads.
     @functools.wraps(command)
-    def keep_arguments(*args: Any, **kwargs: Any) -> None:
-        calls.append(functools.partial(command, *args, **kwargs))
+    def defer_call(*args: Any, **kwargs: Any) -> None:
+        deferred_calls.append(functools.partial(command, *args, **kwargs))
 
-    return keep_arguments
+    return defer_call
--- a/src/wagtailstep/commands/explain_request.py
+++ b/src/wagtailstep/commands/explain_request.py
@@ -1,4 +1,4 @@
-"""The story of one request, told from the logs of all daemons."""
+"""Explanation of one request's outcome, reconstructed from the logs of all daemons."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -7,26 +7,27 @@
 import attrs
 
 from wagtailstep.commands.fleet_beliefs import (
-    MEMBER,
-    PATH,
-    STANDING,
-    find_held_beliefs,
+    MEMBER_EVENT,
+    PATH_EVENT,
+    STANDING_EVENT,
+    find_beliefs_at,
 )
 from wagtailstep.models.log_lines import LogLine, format_line
 
 MILLISECOND = timedelta(milliseconds=1)
-ENDS = ("request-ended", "request-unanswered")
-SERVED = "status-200"
-# Ends that no failure of a backend server explains, even if there was one before.
-NOT_BY_WORK = frozenset({"overloaded", "doubted", "caller-left"})
+END_EVENTS = ("request-ended", "request-unanswered")
+SERVED_OUTCOME = "status-200"
+# Outcomes that are never attributed to a backend server, even if an earlier attempt
+# failed there.
+OUTCOMES_NOT_CAUSED_BY_WORK = frozenset({"overloaded", "doubted", "caller-left"})
 
 
 @attrs.frozen
 class Belief:
-    """What a daemon held to be so when a request ended.
+    """What a daemon believed when a request ended.
 
-    :param line: the event by which it came to hold it.
-    :param age: how long before the end of the request that was.
+    :param line: the log line of the event that established the belief.
+    :param age: time from that event to the end of the request.
     """
 
     line: LogLine
@@ -34,13 +35,13 @@
 
 
 @attrs.frozen
-class Story:
-    """What the logs tell of one request.
+class RequestExplanation:
+    """What the logs show about one request.
 
     :param request_id: identifier of the request.
-    :param lines: its events, and those of the calls made for it, in causal order.
-    :param beliefs: what its daemons believed then.
-    :param cause: why it failed, or that it was served.
+    :param lines: events of the request and of its nested calls, in causal order.
+    :param beliefs: what the daemons involved believed when it ended.
+    :param cause: why it failed, or ``served``.
     """
 
     request_id: str
@@ -49,123 +50,128 @@
     cause: str
 
 
-def explain_request(lines: Sequence[LogLine], request_id: str) -> Story:
-    """Tell the story of a request and name its cause.
+def explain_request(lines: Sequence[LogLine], request_id: str) -> RequestExplanation:
+    """Reconstruct a request from log lines and determine the cause of its outcome.
 
-    :param lines: lines of all daemons, those of one daemon in its order.
+    :param lines: lines of all daemons; those of one daemon in their logged order.
     """
-    own = [line for line in lines if is_part_of(line, request_id)]
-    ordered = sort_lines(own)
-    end = find_end(ordered, request_id)
-    beliefs = find_beliefs(lines, ordered, end) if end is not None else []
-    cause = find_cause(ordered, beliefs, request_id)
-    if not own and (missing := count_missing(lines)):
-        cause += f"; {missing} lines were dropped, as their reader was slow"
-    return Story(request_id, ordered, beliefs, cause)
-
-
-def is_part_of(line: LogLine, request_id: str) -> bool:
-    """Tell whether a line belongs to a request or to a call made for it."""
+    request_lines = [line for line in lines if belongs_to_request(line, request_id)]
+    ordered_lines = sort_causally(request_lines)
+    end = find_end_event(ordered_lines, request_id)
+    beliefs = (
+        select_relevant_beliefs(lines, ordered_lines, end) if end is not None else []
+    )
+    cause = determine_cause(ordered_lines, beliefs, request_id)
+    if not request_lines and (dropped := count_dropped_lines(lines)):
+        cause += f"; {dropped} log lines were dropped because their reader was too slow"
+    return RequestExplanation(request_id, ordered_lines, beliefs, cause)
+
+
+def belongs_to_request(line: LogLine, request_id: str) -> bool:
+    """Return whether a line belongs to a request or one of its nested calls."""
     found = line.request_id
     return found == request_id or found.startswith(f"{request_id}.")
 
 
-def sort_lines(lines: Sequence[LogLine]) -> list[LogLine]:
-    """Sort by time, but the end of a request after everything done for it.
+def sort_causally(lines: Sequence[LogLine]) -> list[LogLine]:
+    """Sort by time, but place the end of a request after all of its other events.
 
-    Clocks of daemons differ by a few milliseconds, which is as much as a hop takes.
+    Time alone doesn't suffice: clocks of daemons differ by a few milliseconds, which
+    is as much as a network hop takes.
     """
     latest: dict[str, datetime] = {}
     for line in lines:
         for request_id in find_ancestors(line.request_id):
             latest[request_id] = max(latest.get(request_id, line.time), line.time)
 
-    def find_key(line: LogLine) -> tuple[datetime, int]:
-        if line.event in ENDS:
-            return latest[line.request_id], 1 + ENDS.index(line.event)
+    def get_sort_key(line: LogLine) -> tuple[datetime, int]:
+        if line.event in END_EVENTS:
+            return latest[line.request_id], 1 + END_EVENTS.index(line.event)
         return line.time, 0
 
-    return sorted(lines, key=find_key)
+    return sorted(lines, key=get_sort_key)
 
 
 def find_ancestors(request_id: str) -> Iterable[str]:
-    """Yield a request and those for which it is a call, the innermost first."""
+    """Yield a request and the requests it is nested in, innermost first."""
     while request_id:
         yield request_id
         request_id, _, _ = request_id.rpartition(".")
 
 
-def find_end(lines: Sequence[LogLine], request_id: str) -> LogLine | None:
-    """Return the event that says how a request ended at its entry."""
+def find_end_event(lines: Sequence[LogLine], request_id: str) -> LogLine | None:
+    """Return the event with the outcome of a request at its entry."""
     ends = [
-        line for line in lines if line.event in ENDS and line.request_id == request_id
+        line
+        for line in lines
+        if line.event in END_EVENTS and line.request_id == request_id
     ]
-    attempts = [line for line in ends if line.event == ENDS[0]]
+    attempts = [line for line in ends if line.event == END_EVENTS[0]]
     return (attempts or ends or [None])[-1]
 
 
-def find_beliefs(
-    lines: Sequence[LogLine], story: Sequence[LogLine], end: LogLine
+def select_relevant_beliefs(
+    lines: Sequence[LogLine], trace_lines: Sequence[LogLine], end: LogLine
 ) -> list[Belief]:
-    """Return what the entry, and the gates it asked, believed when a request ended."""
+    """Return what the entry and the gates it tried believed when a request ended."""
     tried = set(end.get("tried").split(",")) - {""}
-    gates = {line.process for line in story if line.event == "work-ended"}
+    gates = {line.process for line in trace_lines if line.event == "work-ended"}
 
     def is_relevant(line: LogLine) -> bool:
         at_entry = line.process == end.process
-        if line.event == STANDING:
+        if line.event == STANDING_EVENT:
             return line.get("target") in tried
-        if line.event == PATH:
+        if line.event == PATH_EVENT:
             return at_entry and line.get("target") in tried
-        if line.event == MEMBER:
+        if line.event == MEMBER_EVENT:
             return at_entry and line.get("member") in gates
         return at_entry
 
-    held = find_held_beliefs(lines, end.time)
-    return [Belief(line, end.time - line.time) for line in held if is_relevant(line)]
+    beliefs = find_beliefs_at(lines, end.time)
+    return [Belief(line, end.time - line.time) for line in beliefs if is_relevant(line)]
 
 
-def find_cause(
+def determine_cause(
     lines: Sequence[LogLine], beliefs: Sequence[Belief], request_id: str
 ) -> str:
-    """Name the cause of a request's end in a few words."""
-    end = find_end(lines, request_id)
+    """Describe the cause of a request's outcome in a few words."""
+    end = find_end_event(lines, request_id)
     if end is None:
-        return find_cause_without_end(lines)
+        return determine_cause_without_end(lines)
     outcome = end.get("outcome") or end.get("reason")
-    if outcome == SERVED:
+    if outcome == SERVED_OUTCOME:
         return "served"
-    call = find_failed_call(lines, request_id)
+    call = find_first_failed_call(lines, request_id)
     if call is not None and outcome.startswith("status-"):
-        because = find_cause(lines, beliefs, call.request_id)
+        because = determine_cause(lines, beliefs, call.request_id)
         return f"a call to {call.get('service') or 'a service'} failed: {because}"
-    work = find_failed_work(lines, request_id)
-    if work is not None and outcome not in NOT_BY_WORK:
-        return describe_work(work, beliefs)
-    return describe_end(end, outcome)
+    work = find_last_failed_work(lines, request_id)
+    if work is not None and outcome not in OUTCOMES_NOT_CAUSED_BY_WORK:
+        return describe_failed_work(work, beliefs)
+    return describe_outcome(end, outcome)
 
 
-def find_cause_without_end(lines: Sequence[LogLine]) -> str:
-    """Name the cause where no entry says how a request ended."""
+def determine_cause_without_end(lines: Sequence[LogLine]) -> str:
+    """Describe the cause if no entry logged the end of a request."""
     if any(line.event == "work-ended" for line in lines):
-        return "its entry ended or was cut off before it had an answer"
+        return "its entry stopped or was interrupted before it had a response"
     if lines:
-        return "its entry told no end; it was stopped or its lines are missing"
-    return "no daemon has a line of it"
+        return "its entry logged no end; it was stopped or its lines are missing"
+    return "no daemon logged a line for it"
 
 
-def find_failed_call(lines: Sequence[LogLine], request_id: str) -> LogLine | None:
-    """Return the end of the first call for a request that was not served."""
+def find_first_failed_call(lines: Sequence[LogLine], request_id: str) -> LogLine | None:
+    """Return the end event of the first nested call that was not served."""
     calls = [
         line
         for line in lines
-        if line.event == ENDS[0] and line.request_id.startswith(f"{request_id}.")
+        if line.event == END_EVENTS[0] and line.request_id.startswith(f"{request_id}.")
     ]
-    return next((call for call in calls if call.get("outcome") != SERVED), None)
+    return next((call for call in calls if call.get("outcome") != SERVED_OUTCOME), None)
 
 
-def find_failed_work(lines: Sequence[LogLine], request_id: str) -> LogLine | None:
-    """Return the last work for a request that a backend server didn't do well."""
+def find_last_failed_work(lines: Sequence[LogLine], request_id: str) -> LogLine | None:
+    """Return the event of the last failed work for a request."""
     ended = [
         line
         for line in lines
@@ -175,101 +181,112 @@
     return failed[-1] if failed else None
 
 
-def describe_work(work: LogLine, beliefs: Sequence[Belief]) -> str:
-    """Say what went wrong at a backend server and what its gate had thought of it."""
+def describe_failed_work(work: LogLine, beliefs: Sequence[Belief]) -> str:
+    """Describe a backend server's failure and the standing it had before."""
     target = work.get("target")
     verbs = {
         "failed": f"failed the work with {work.get('status')}",
-        "broken": "broke off the connection",
+        "broken": "closed the connection before its response was complete",
         "late": "did not answer in time",
         "unreachable": "could not be reached",
-        "turned-away": "said that it is full",
+        "turned-away": "rejected the work because it was full",
     }
     verb = verbs.get(work.get("result"), f"ended the work as {work.get('result')}")
-    # The gate's judgement follows the failure; the one before it is what counted.
-    held = [
+    # The gate updates the standing after the failure; the routing decision was based on
+    # the one before.
+    standings = [
         belief.line.get("standing")
         for belief in beliefs
-        if belief.line.event == STANDING
+        if belief.line.event == STANDING_EVENT
         and belief.line.get("target") == target
         and belief.line.time < work.time
     ]
-    return f"target {target} {verb}, believed {held[-1] if held else 'good'} before"
+    return (
+        f"target {target} {verb}, "
+        f"believed {standings[-1] if standings else 'good'} before"
+    )
 
 
-def describe_end(end: LogLine, outcome: str) -> str:
-    """Say why an entry ended a request without work that failed."""
+def describe_outcome(end: LogLine, outcome: str) -> str:
+    """Describe why an entry ended a request for which no work failed."""
     if outcome == "overloaded":
         asked = end.get("gates_full") or "some"
-        return f"no room: {asked} gates asked had no slot in time"
+        return f"overloaded: {asked} gates tried had no free slot in time"
     texts = {
         "no-target": "no target of the service was known",
-        "no-route": "no route matches it",
-        "not-ready": "the daemon knew no table yet",
-        "leaving": "the targets asked were leaving",
-        "doubted": "the targets asked had failed just before",
-        "deadline-exceeded": "its time had passed, and no gate tells of work for it",
-        "connection-failed": "the connection to a gate was lost, and no gate tells of "
+        "no-route": "no route matches the request",
+        "not-ready": "the daemon had not received a table yet",
+        "leaving": "the targets tried were leaving",
+        "doubted": "the targets tried had failed just before",
+        "deadline-exceeded": "its deadline passed, and no gate logged work for it",
+        "connection-failed": "the connection to a gate was lost, and no gate logged "
         "work for it",
-        "bad-request": "the request was malformed or cut by its caller",
-        "duplicate": "a gate had accepted the same sending before",
-        "caller-left": "the caller went away",
-        "attempt-abandoned": "an attempt took too long and no other was possible",
+        "bad-request": "the request was malformed or truncated by its caller",
+        "duplicate": "a gate had already accepted this transmission",
+        "caller-left": "the caller disconnected",
+        "attempt-abandoned": "an attempt timed out and no further attempt was possible",
     }
     return texts.get(outcome, f"ended as {outcome}")
 
 
-def count_missing(lines: Iterable[LogLine]) -> int:
-    """Return how many lines the daemons say they dropped."""
-    told = (line for line in lines if line.event == "lines-left-out")
-    return sum(int(line.get("dropped") or 0) for line in told)
+def count_dropped_lines(lines: Iterable[LogLine]) -> int:
+    """Return how many log lines the daemons report as dropped."""
+    reports = (line for line in lines if line.event == "lines-left-out")
+    return sum(int(line.get("dropped") or 0) for line in reports)
 
 
 def count_causes(lines: Sequence[LogLine]) -> Counter[str]:
-    """Count the causes of all callers' requests that failed.
+    """Count the causes of all failed requests of callers.
 
-    Names of targets are left out, so that alike causes count together.
+    Names of targets are replaced by their service, so that similar causes are counted
+    together.
     """
-    by_caller: dict[str, list[LogLine]] = {}
+    lines_by_caller_request: dict[str, list[LogLine]] = {}
     for line in lines:
         if line.request_id:
-            by_caller.setdefault(line.request_id.split(".")[0], []).append(line)
+            lines_by_caller_request.setdefault(
+                line.request_id.split(".")[0], []
+            ).append(line)
     causes: Counter[str] = Counter()
-    for request_id, own in by_caller.items():
-        ordered = sort_lines(own)
-        if find_end(ordered, request_id) is None:
+    for request_id, request_lines in lines_by_caller_request.items():
+        ordered_lines = sort_causally(request_lines)
+        if find_end_event(ordered_lines, request_id) is None:
             continue
-        cause = find_cause(ordered, [], request_id)
+        cause = determine_cause(ordered_lines, [], request_id)
         if cause != "served":
-            causes[leave_out_targets(cause, ordered)] += 1
+            causes[replace_target_names(cause, ordered_lines)] += 1
     return causes
 
 
-def leave_out_targets(cause: str, lines: Iterable[LogLine]) -> str:
-    """Replace the names of targets in a cause by that of their service."""
+def replace_target_names(cause: str, lines: Iterable[LogLine]) -> str:
+    """Replace target names in a cause by the name of their service."""
     for target in {line.get("target") for line in lines} - {""}:
         cause = cause.replace(target, f"of {target.partition('/')[0]}")
     return cause.partition(", believed")[0]
 
 
-def format_story(story: Story) -> str:
-    """Write a story as text."""
-    texts = [f"request {story.request_id}: {story.cause}"]
-    start = story.lines[0].time if story.lines else None
-    for line in story.lines:
-        after_ms = (line.time - start) / MILLISECOND
-        texts.append(f"  {after_ms:+9.0f} ms  {line.process}  {format_line(line)}")
-    if story.beliefs:
-        texts.append("believed when it ended:")
-    for belief in story.beliefs:
+def format_explanation(explanation: RequestExplanation) -> str:
+    """Format an explanation as text."""
+    output_lines = [f"request {explanation.request_id}: {explanation.cause}"]
+    start = explanation.lines[0].time if explanation.lines else None
+    for line in explanation.lines:
+        offset_ms = (line.time - start) / MILLISECOND
+        output_lines.append(
+            f"  {offset_ms:+9.0f} ms  {line.process}  {format_line(line)}"
+        )
+    if explanation.beliefs:
+        output_lines.append("believed when it ended:")
+    for belief in explanation.beliefs:
         line = belief.line
         age_s = belief.age.total_seconds()
-        texts.append(f"  for {age_s:7.3f} s  {line.process}  {format_line(line)}")
-    return "\n".join(texts)
+        output_lines.append(
+            f"  for {age_s:7.3f} s  {line.process}  {format_line(line)}"
+        )
+    return "\n".join(output_lines)
 
 
 def format_causes(causes: Counter[str]) -> str:
-    """Write causes with their counts, the most frequent first."""
+    """Format causes with their counts, most frequent first."""
     if not causes:
         return "no request failed"
     return "\n".join(f"{count:6d}  {cause}" for cause, count in causes.most_common())
--- a/src/wagtailstep/commands/report_load.py
+++ b/src/wagtailstep/commands/report_load.py
@@ -1,4 +1,4 @@
-"""Reports of a load, as text and as a picture."""
+"""Load test reports as text and as charts."""
 
 import pathlib
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 )
 
 ALL = "all"
-PERCENTS = (50.0, 99.0)
+PERCENTILES = (50.0, 99.0)
 HEADER = (
     f"{'side':<12} {'class':<16} {'asked':>7} {'in aim':>7} {'served':>7} "
     f"{'refused':>8} {'failed':>7} {'gave up':>8} {'p50 ms':>8} {'p99 ms':>8}"
@@ -20,7 +20,7 @@
 
 
 def format_results(sides: Sequence[SideResult]) -> str:
-    """Write the results of a load as a table, and a comparison of two sides."""
+    """Format the results of a load as a table; compare the sides if there are two."""
     lines = [HEADER]
     for side in sides:
         totals = side.total()
@@ -32,8 +32,8 @@
 
 
 def format_row(side: str, name: str, result: ClassResult) -> str:
-    """Write one row of the table."""
-    p50, p99 = (result.latency_ms(percent) for percent in PERCENTS)
+    """Format one row of the table."""
+    p50, p99 = (result.latency_ms(percentile) for percentile in PERCENTILES)
     return (
         f"{side:<12} {name:<16} {result.asked:>7} {result.goodput:>7.3f} "
         f"{result.served:>7} {result.refused:>8} {result.failed:>7} "
@@ -42,7 +42,7 @@
 
 
 def format_difference(first: SideResult, second: SideResult) -> str:
-    """Write by how much the second side is better."""
+    """Format the goodput difference of the second side to the first."""
     difference = compare_sides(first, second)
     verdict = "clear" if difference.is_significant else "within chance"
     return (
@@ -53,26 +53,26 @@
 
 
 def draw_results(sides: Sequence[SideResult], path: pathlib.Path) -> None:
-    """Draw goodput by slice and latency by percentile.
+    """Plot goodput by slice and latency by percentile.
 
-    :param path: where the PNG goes.
-    :raises SettingsError: if the library that draws is not installed.
+    :param path: path of the PNG to write.
+    :raises SettingsError: if matplotlib is not installed.
     """
     try:
         from matplotlib.figure import Figure
     except ImportError as error:
         raise SettingsError(
-            "pictures need matplotlib; install wagtailstep[load]"
+            "charts need matplotlib; install wagtailstep[load]"
         ) from error
     figure = Figure(figsize=(10, 4), layout="constrained")
-    by_slice, by_percent = figure.subplots(1, 2)
+    goodput_axes, latency_axes = figure.subplots(1, 2)
     for side in sides:
-        by_slice.plot(side.goodputs(), marker="o", label=side.name)
+        goodput_axes.plot(side.goodputs(), marker="o", label=side.name)
         latencies = combine_results(side.total())
-        percents = [*range(1, 100), 99.5, 99.9]
-        values = [latencies.latency_ms(percent) for percent in percents]
-        by_percent.plot(percents, values, label=side.name)
-    by_slice.set(xlabel="slice", ylabel="share answered in aim", ylim=(0, 1.02))
-    by_percent.set(xlabel="percentile", ylabel="latency (ms)", yscale="log")
-    by_slice.legend()
+        percentiles = [*range(1, 100), 99.5, 99.9]
+        values = [latencies.latency_ms(percentile) for percentile in percentiles]
+        latency_axes.plot(percentiles, values, label=side.name)
+    goodput_axes.set(xlabel="slice", ylabel="share answered in aim", ylim=(0, 1.02))
+    latency_axes.set(xlabel="percentile", ylabel="latency (ms)", yscale="log")
+    goodput_axes.legend()
     figure.savefig(path, format="png")
--- a/src/wagtailstep/commands/run_daemon.py
+++ b/src/wagtailstep/commands/run_daemon.py
@@ -1,4 +1,4 @@
-"""Running one daemon as a process."""
+"""Runs one daemon as a process."""
 
 import asyncio
 import gc
@@ -14,70 +14,71 @@
 
 LOGGER = logging.getLogger(__name__)
 
-MakeDaemon = Callable[[], Daemon]
+DaemonFactory = Callable[[], Daemon]
 
 
 def run_daemon(
     settings: DaemonSettings,
-    make_daemon: MakeDaemon,
-    read_again: Callable[[], DaemonSettings],
+    create_daemon: DaemonFactory,
+    reread_settings: Callable[[], DaemonSettings],
 ) -> bool:
     """Serve until SIGTERM or SIGINT, then shut down gracefully.
 
-    :param make_daemon: makes the daemon inside its event loop.
-    :param read_again: reads the settings again after SIGHUP.
-    :return: whether all requests in flight ended within the drain limit.
-    :raises SettingsError: if an address can't be listened on.
+    :param create_daemon: creates the daemon; called inside the event loop.
+    :param reread_settings: reads the settings file again; called after SIGHUP and
+        periodically.
+    :return: whether all requests in flight completed within the drain limit.
+    :raises SettingsError: if listening on an address fails.
     """
     configure_logging(settings.log_level)
     try:
-        return asyncio.run(serve_until_signal(settings, make_daemon, read_again))
+        return asyncio.run(serve_until_signal(settings, create_daemon, reread_settings))
     except* OSError as group:
-        raise describe_start_failure(group) from None
+        raise build_start_error(group) from None
 
 
 async def serve_until_signal(
     settings: DaemonSettings,
-    make_daemon: MakeDaemon,
-    read_again: Callable[[], DaemonSettings],
+    create_daemon: DaemonFactory,
+    reread_settings: Callable[[], DaemonSettings],
 ) -> bool:
-    """Serve until a signal asks to stop."""
+    """Serve until a signal requests shutdown."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-    reloader = SettingsReloader(settings, read_again)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
+    reloader = SettingsReloader(settings, reread_settings)
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
-    daemon = make_daemon()
+    daemon = create_daemon()
     await daemon.start()
-    exempt_startup_objects()
-    watching = asyncio.create_task(reloader.watch())
+    freeze_startup_objects()
+    watch_task = asyncio.create_task(reloader.watch())
     await stop.wait()
-    watching.cancel()
+    watch_task.cancel()
     log_event(LOGGER, "signal-received")
     return await daemon.shut_down()
 
 
-def exempt_startup_objects() -> None:
-    """Have the garbage collector run, and pass over what exists now.
+def freeze_startup_objects() -> None:
+    """Enable the garbage collector and exempt all objects that exist now.
 
-    Modules and classes live as long as the process; looking through them again and
-    again would hold up requests.
+    Modules and classes live as long as the process. Scanning them in each collection
+    would delay requests.
     """
     gc.collect()
     gc.freeze()
     gc.enable()
 
 
-def describe_start_failure(group: BaseExceptionGroup) -> WagtailstepError:
-    """Turn failures to listen into one message."""
+def build_start_error(group: BaseExceptionGroup) -> WagtailstepError:
+    """Combine listen failures into one error."""
     reasons = "; ".join(sorted(str(error) for error in _flatten(group)))
     return SettingsError(f"an address of the settings can't be used: {reasons}")
 
 
 def _flatten(group: BaseExceptionGroup) -> list[BaseException]:
-    leaves: list[BaseException] = []
+    errors: list[BaseException] = []
     for error in group.exceptions:
         is_group = isinstance(error, BaseExceptionGroup)
-        leaves.extend(_flatten(error) if is_group else [error])
-    return leaves
+        errors.extend(_flatten(error) if is_group else [error])
+    return errors
--- a/src/wagtailstep/commands/table_restore.py
+++ b/src/wagtailstep/commands/table_restore.py
@@ -1,4 +1,4 @@
-"""Bringing the table back from a file after the log and all daemons lost it."""
+"""Restores the table from a file after the log and all daemons have lost it."""
 
 from wagtailstep.commands.table_client import Proposal, TableClient
 from wagtailstep.commands.table_csv import TableFile
@@ -13,19 +13,19 @@
 from wagtailstep.utils.codec import encode_message
 from wagtailstep.utils.ids import make_id
 
-READ_LIMIT = 1_000
+READ_BATCH_RECORDS = 1_000
 
 
-def check_lost(reports: list[DaemonReport]) -> None:
-    """Refuse to restore while a daemon has the table or does not answer.
+def check_no_daemon_has_table(reports: list[DaemonReport]) -> None:
+    """Reject a restore while a daemon has the table or does not respond.
 
-    :raises TableError: if so.
+    :raises TableError: if a daemon has the table or does not respond.
     """
     for report in reports:
         if report.status is None:
             raise TableError(
-                f"daemon {report.address} does not answer, so it may have the table; "
-                f"end it first"
+                f"daemon {report.address} does not respond, so it may have the table; "
+                f"stop it first"
             )
         if report.status.table_known:
             raise TableError(
@@ -38,12 +38,12 @@
 async def restore_table(
     client: TableClient, file: TableFile, version: int, proposal: Proposal
 ) -> int:
-    """Append a snapshot made from a file.
+    """Append a snapshot built from a file.
 
-    :param version: version of the restored table; above any that was in force.
+    :param version: version of the restored table; higher than any that was in force.
     :return: number of records appended.
-    :raises TableError: if the log still has the table, or the file is not valid.
-    :raises SettingsError: if the version is not above the file's.
+    :raises TableError: if the log still has the table, or the file is invalid.
+    :raises SettingsError: if the version is not higher than that of the file.
     :raises LogError: if the log can't be read or appended to.
     """
     if file.base_version is not None and version <= file.base_version:
@@ -51,17 +51,19 @@
             f"--version={version} is not allowed, allowed is a version above any "
             f"that was in force, so at least {file.base_version + 1}"
         )
-    next_offset = await _check_lost(client)
-    fold = _make_fold(client, file, version, next_offset, proposal)
+    next_offset = await _check_log_lost_table(client)
+    fold = _build_fold(client, file, version, next_offset, proposal)
     parts = split_snapshot(make_id(client.rng), fold, client.clock.utc())
     for part in parts:
         await client.log.append(TABLE_STREAM, encode_message(part))
     return len(parts)
 
 
-async def _check_lost(client: TableClient) -> int:
-    """Return the offset of the next record, if the log has no table any more."""
-    next_offset = await find_end(client.log)
+async def _check_log_lost_table(client: TableClient) -> int:
+    """Return the offset of the next record.
+
+    :raises TableError: if the log still has the table."""
+    next_offset = await find_end_offset(client.log)
     try:
         fold = await client.read_fold()
     except LogError:
@@ -74,20 +76,20 @@
     )
 
 
-async def find_end(log: LogService) -> int:
-    """Return the offset that the next record of the table's stream will have.
+async def find_end_offset(log: LogService) -> int:
+    """Return the offset of the next record of the table's stream.
 
     :raises LogError: if the log can't be read.
     """
     offset = await log.oldest_offset(TABLE_STREAM)
     while True:
-        batch = await log.read(TABLE_STREAM, offset, READ_LIMIT)
+        batch = await log.read(TABLE_STREAM, offset, READ_BATCH_RECORDS)
         if not batch.records:
             return offset
         offset = batch.next_offset
 
 
-def _make_fold(
+def _build_fold(
     client: TableClient,
     file: TableFile,
     version: int,
--- a/src/wagtailstep/commands/table_status.py
+++ b/src/wagtailstep/commands/table_status.py
@@ -1,4 +1,4 @@
-"""Which version of the table is in force at which daemon."""
+"""Reports which version of the table is in force at each daemon."""
 
 import asyncio
 from collections.abc import Iterator
@@ -13,26 +13,26 @@
 from wagtailstep.models.table_fold import TableFold
 from wagtailstep.utils.logging import format_fields
 
-MAX_AT_ONCE = 32
+MAX_CONCURRENT_QUERIES = 32
 
 
 class StatusClient(Protocol):
-    """Asks daemons for their status."""
+    """Fetches the status of daemons."""
 
     async def fetch_status(self, address: str) -> DaemonStatus:
         """Return a daemon's status.
 
-        :raises RequestError: if it did not answer.
+        :raises RequestError: if it did not respond.
         """
 
 
 @attrs.frozen
 class DaemonReport:
-    """What is known of one daemon.
+    """Result of a status query to one daemon.
 
-    :param address: where it was asked.
-    :param status: its answer, or ``None``.
-    :param problem: why there is no answer.
+    :param address: address that was queried.
+    :param status: status of the daemon, or ``None`` if the query failed.
+    :param problem: why the query failed.
     """
 
     address: str
@@ -40,29 +40,29 @@
     problem: str = ""
 
 
-async def ask_daemons(
+async def query_daemons(
     client: StatusClient, addresses: tuple[str, ...]
 ) -> list[DaemonReport]:
-    """Ask daemons for their status, a bounded number of them at once."""
-    turns = asyncio.Semaphore(MAX_AT_ONCE)
+    """Fetch the status of daemons with bounded concurrency."""
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
 
-    async def ask(address: str) -> DaemonReport:
-        async with turns:
+    async def query(address: str) -> DaemonReport:
+        async with semaphore:
             try:
                 return DaemonReport(address, await client.fetch_status(address))
             except RequestError as error:
                 return DaemonReport(address, problem=str(error))
 
-    return list(await asyncio.gather(*map(ask, addresses)))
+    return list(await asyncio.gather(*map(query, addresses)))
 
 
 def describe_reports(
     fold: TableFold | None, reports: list[DaemonReport]
 ) -> Iterator[str]:
-    """Yield one line for each daemon and one that sums up.
+    """Yield one line per daemon and a summary line.
 
-    :param fold: the table by the log, or ``None`` if the log can't be read; the
-        newest version of the daemons stands for it then.
+    :param fold: the table in the log, or ``None`` if the log can't be read; then the
+        newest version among the daemons counts as the newest version.
     """
     versions = [r.status.table_version for r in reports if r.status is not None]
     newest = max(versions, default=0) if fold is None else fold.version
@@ -96,17 +96,20 @@
     fields: dict[str, object] = {"daemon": status.daemon_id, "address": report.address}
     if not status.table_known:
         return fields | {"state": "no-table", "log_reachable": status.log_reachable}
-    fields |= {"version": status.table_version, "since": _write(status.table_since_utc)}
+    fields |= {
+        "version": status.table_version,
+        "since": _format_time(status.table_since_utc),
+    }
     if not _is_behind(status, newest):
         return fields | {"state": "in-force"}
     missed = edits.get(status.table_version + 1)
     behind_since = None if missed is None else missed.utc
     return fields | {
         "state": "behind",
-        "behind_since": _write(behind_since),
+        "behind_since": _format_time(behind_since),
         "log_reachable": status.log_reachable,
     }
 
 
-def _write(utc: datetime | None) -> str:
+def _format_time(utc: datetime | None) -> str:
     return "unknown" if utc is None else utc.isoformat(timespec="seconds")
--- a/src/wagtailstep/fakes/backend_server.py
+++ b/src/wagtailstep/fakes/backend_server.py
@@ -1,14 +1,14 @@
-"""Stand-in for a backend server that counts what it ran.
+"""Stand-in for a backend server that counts the requests it runs.
 
-Real work is any path that is not listed here. Its time is taken from the header
-``fake-work-ms``; its answer repeats the header ``fake-key``, so that a caller can
-tell its own answer from another one. Besides:
+Any path that is not listed here is a work request. The header ``fake-work-ms`` sets
+its processing time; the response echoes the header ``fake-key``, so that callers can
+detect a response that belongs to another request. Control endpoints:
 
-- ``GET /health`` and ``GET /load``: hints that mislead.
-- ``GET /counts``: how often each key was run, and what else was seen.
+- ``GET /health`` and ``GET /load``: always report a healthy, idle server.
+- ``GET /counts``: runs by key, and other counters.
 - ``PUT /faults``: JSON of :class:`wagtailstep.fakes.faults.Faults`.
-- ``POST /silence``: all connections that are open now go silent for good.
-- ``POST /drain``: leave, as on SIGTERM.
+- ``POST /silence``: stop reading from all open connections permanently.
+- ``POST /drain``: drain, as on SIGTERM.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 from wagtailstep.exceptions import SettingsError
 from wagtailstep.fakes.announcer import Announcement, Announcer
-from wagtailstep.fakes.faults import Faults, draw, read_faults
+from wagtailstep.fakes.faults import Faults, draw_bool, read_faults
 from wagtailstep.fakes.work import Work, WorkCounts, read_work
 from wagtailstep.models.settings import (
     check_address,
@@ -41,15 +41,16 @@
     """Settings of one backend server stand-in.
 
     :param service: name of the service.
-    :param address: ``host:port`` to listen on; port 0 takes a free one.
-    :param announce_address: ``host:port`` of the daemon beside it; empty for none.
-    :param slots: requests that it runs at the same time.
-    :param queue_length: requests that may wait for a slot before it sheds load.
-    :param work_ms: time of a request that names none.
-    :param cold_start_ms: time from start to full speed.
-    :param cold_factor: factor on the time of requests at the very start.
-    :param drain_limit_s: longest time to finish work when leaving.
-    :param seed: seed of random choices.
+    :param address: ``host:port`` to listen on; port 0 selects a free port.
+    :param announce_address: ``host:port`` of the local daemon; empty to announce
+        nothing.
+    :param slots: number of requests that it runs concurrently.
+    :param queue_length: number of requests that may wait for a slot; more are shed.
+    :param work_ms: processing time of a request that doesn't specify one.
+    :param cold_start_ms: time after the start until it reaches full speed.
+    :param cold_factor: factor on the processing time right after the start.
+    :param drain_limit_s: maximum time to complete requests during a drain.
+    :param seed: seed of the random generator.
     """
 
     service: str = attrs.field(validator=check_name)
@@ -65,9 +66,9 @@
 
 
 class BackendServer:
-    """One stand-in, usable in a test or as a process of its own.
+    """A stand-in for a backend server, for use in tests or as a separate process.
 
-    :param settings: its settings.
+    :param settings: settings of the stand-in.
     """
 
     def __init__(self, settings: BackendServerSettings) -> None:
@@ -77,33 +78,33 @@
         self.faults = Faults()
         self.counts = WorkCounts()
         self.slots = asyncio.Semaphore(settings.slots)
-        self.inside = 0
+        self.requests_in_progress = 0
         self.started_at = timedelta()
-        self.leaving_at: timedelta | None = None
-        self.left = asyncio.Event()
+        self.drain_started_at: timedelta | None = None
+        self.drained = asyncio.Event()
         self.address = ""
         self.announcer: Announcer | None = None
-        self.announcing: asyncio.Task[None] | None = None
-        self.silenced: list[object] = []
-        self.application = self.make_application()
+        self.announce_task: asyncio.Task[None] | None = None
+        self.silenced_connections: list[object] = []
+        self.application = self.create_application()
         self.server = HttpServer(self.application, lambda: None)
 
-    def make_application(self) -> Application:
+    def create_application(self) -> Application:
         """Return the BlackSheep application."""
         router = Router()
-        router.add_get("/health", make_handler(self.answer_health))
-        router.add_get("/load", make_handler(self.answer_load))
-        router.add_get("/counts", make_handler(self.answer_counts))
-        router.add_put("/faults", make_handler(self.set_faults))
-        router.add_post("/silence", make_handler(self.silence_connections))
-        router.add_post("/drain", make_handler(self.start_leaving))
-        router.fallback = make_handler(self.do_work)
+        router.add_get("/health", wrap_handler(self.handle_health))
+        router.add_get("/load", wrap_handler(self.handle_load))
+        router.add_get("/counts", wrap_handler(self.handle_counts))
+        router.add_put("/faults", wrap_handler(self.handle_set_faults))
+        router.add_post("/silence", wrap_handler(self.handle_silence))
+        router.add_post("/drain", wrap_handler(self.handle_drain))
+        router.fallback = wrap_handler(self.handle_work)
         return Application(router=router)
 
     async def start(self) -> str:
-        """Listen and begin to announce.
+        """Listen and start announcing.
 
-        :return: ``host:port`` that is listened on.
+        :return: ``host:port`` of the listener.
         """
         await self.application.start()
         self.address = await self.server.start(self.settings.address)
@@ -114,128 +115,139 @@
                 self.settings.service,
                 Announcement(self.address, self.settings.slots),
             )
-            self.announcing = asyncio.create_task(self.announcer.run())
+            self.announce_task = asyncio.create_task(self.announcer.run())
         return self.address
 
-    async def leave(self) -> None:
-        """Tell the daemon, finish what is running, and stop listening.
+    async def drain(self) -> None:
+        """Withdraw the announcement, complete running requests and stop listening.
 
-        The listener stays open meanwhile: work that was accepted for this backend
-        server may still arrive.
+        The listener stays open until then, since work that a gate already accepted for
+        this backend server may still arrive.
         """
-        if self.leaving_at is not None:
+        if self.drain_started_at is not None:
             return
-        self.leaving_at = self.clock.monotonic()
-        if self.announcing is not None:
-            self.announcing.cancel()
-            await self.announcer.leave()
+        self.drain_started_at = self.clock.monotonic()
+        if self.announce_task is not None:
+            self.announce_task.cancel()
+            await self.announcer.withdraw()
         await self.server.drain(timedelta(seconds=self.settings.drain_limit_s))
-        self.left.set()
+        self.drained.set()
 
     async def stop(self) -> None:
-        """Stop at once, whatever is running."""
-        if self.announcing is not None:
-            self.announcing.cancel()
+        """Stop immediately, even if requests are running."""
+        if self.announce_task is not None:
+            self.announce_task.cancel()
         await self.server.close()
 
-    async def answer_health(self, request: Request) -> Response:
-        """Answer that all is well, whatever the faults."""
-        return answer_json({"status": "ok"})
+    async def handle_health(self, request: Request) -> Response:
+        """Report a healthy server, regardless of the faults."""
+        return build_json_response({"status": "ok"})
 
-    async def answer_load(self, request: Request) -> Response:
-        """Answer with a load that is always low."""
-        return answer_json({"running": 0, "slots": self.settings.slots})
+    async def handle_load(self, request: Request) -> Response:
+        """Report an idle server, regardless of the load."""
+        return build_json_response({"running": 0, "slots": self.settings.slots})
 
-    async def answer_counts(self, request: Request) -> Response:
-        """Answer with what was counted."""
-        return answer_json(self.counts)
+    async def handle_counts(self, request: Request) -> Response:
+        """Return the counters."""
+        return build_json_response(self.counts)
 
-    async def set_faults(self, request: Request) -> Response:
-        """Take other faults."""
+    async def handle_set_faults(self, request: Request) -> Response:
+        """Replace the injected faults."""
         data = await request.read() or b"{}"
         try:
             self.faults = read_faults(msgspec.json.decode(data))
         except (SettingsError, msgspec.MsgspecError) as error:
-            return answer_json({"error": str(error)}, 400)
-        return answer_json(self.faults)
+            return build_json_response({"error": str(error)}, 400)
+        return build_json_response(self.faults)
 
-    async def silence_connections(self, request: Request) -> Response:
-        """Read nothing more from the connections that are open, bar this one."""
-        own = request.scope["wagtailstep.connection"]
-        self.go_silent(own)
-        return answer_json({"silenced": len(self.silenced)})
+    async def handle_silence(self, request: Request) -> Response:
+        """Stop reading from all open connections except the one of this request."""
+        this_connection = request.scope["wagtailstep.connection"]
+        self.silence_open_connections(this_connection)
+        return build_json_response({"silenced": len(self.silenced_connections)})
 
-    def go_silent(self, spared: object = None) -> None:
-        """Stop reading from all open connections, for good.
+    def silence_open_connections(self, excluded: object = None) -> None:
+        """Stop reading from all open connections permanently.
 
-        :param spared: a connection that goes on working.
+        :param excluded: a connection that keeps working.
         """
         for connection in self.server.state.connections:
-            if connection is not spared:
+            if connection is not excluded:
                 connection.transport.pause_reading()
-                self.silenced.append(connection)
-
-    async def start_leaving(self, request: Request) -> Response:
-        """Leave in the background."""
-        self.leaving = asyncio.create_task(self.leave())
-        return answer_json({"leaving": True})
-
-    async def do_work(self, request: Request) -> Response:
-        """Run one real request, or shed it if too many wait."""
-        self.count_late_work()
-        if self.inside >= self.settings.slots + self.settings.queue_length:
+                self.silenced_connections.append(connection)
+
+    async def handle_drain(self, request: Request) -> Response:
+        """Start draining in the background."""
+        self.drain_task = asyncio.create_task(self.drain())
+        return build_json_response({"leaving": True})
+
+    async def handle_work(self, request: Request) -> Response:
+        """Run a work request, or shed it if the queue is full."""
+        self.record_late_work()
+        if (
+            self.requests_in_progress
+            >= self.settings.slots + self.settings.queue_length
+        ):
             self.counts.shed += 1
             return Response(503, [(b"retry-after", b"1")])
-        self.inside += 1
-        self.counts.most_inside = max(self.counts.most_inside, self.inside)
+        self.requests_in_progress += 1
+        self.counts.most_inside = max(
+            self.counts.most_inside, self.requests_in_progress
+        )
         try:
             work = await read_work(request, self.settings.work_ms)
             async with self.slots:
-                return await self.run(work, request)
+                return await self.run_work(work, request)
         except asyncio.CancelledError:
             self.counts.cancelled += 1
             raise
         finally:
-            self.inside -= 1
+            self.requests_in_progress -= 1
 
-    async def run(self, work: Work, request: Request) -> Response:
-        """Spend the time of a request, count it, and answer with its faults."""
-        faults = self.faults.active(self.clock.monotonic() / timedelta(milliseconds=1))
+    async def run_work(self, work: Work, request: Request) -> Response:
+        """Simulate the processing of a request, subject to the injected faults."""
+        faults = self.faults.active_at(
+            self.clock.monotonic() / timedelta(milliseconds=1)
+        )
         self.counts.started[work.key] += 1
-        if faults.fails(work.route, self.rng):
+        if faults.should_fail(work.route, self.rng):
             self.counts.failed += 1
             return Response(500)
         await asyncio.sleep(self.work_time_s(work, faults))
         self.counts.runs[work.key] += 1
         connection = request.scope["wagtailstep.connection"]
-        if draw(self.rng, faults.hang_share):
+        if draw_bool(self.rng, faults.hang_share):
             await asyncio.Event().wait()
-        if draw(self.rng, faults.lose_share):
+        if draw_bool(self.rng, faults.lose_share):
             connection.reset_connection()
-        cut = draw(self.rng, faults.truncate_share)
-        return work.answer(self.address, connection.transport.close if cut else None)
-
-    def count_late_work(self) -> None:
-        """Note how long after leaving new work still came."""
-        if self.leaving_at is None:
+        truncated = draw_bool(self.rng, faults.truncate_share)
+        return work.build_response(
+            self.address, connection.transport.close if truncated else None
+        )
+
+    def record_late_work(self) -> None:
+        """Record how long after the start of the drain new work arrived."""
+        if self.drain_started_at is None:
             return
-        late = (self.clock.monotonic() - self.leaving_at) / timedelta(milliseconds=1)
-        self.counts.late_work_ms = max(self.counts.late_work_ms, late)
+        delay_ms = (self.clock.monotonic() - self.drain_started_at) / timedelta(
+            milliseconds=1
+        )
+        self.counts.late_work_ms = max(self.counts.late_work_ms, delay_ms)
 
     def work_time_s(self, work: Work, faults: Faults) -> float:
-        """Return the time that a request takes, in seconds."""
+        """Return the processing time of a request in seconds."""
         age_ms = (self.clock.monotonic() - self.started_at) / timedelta(milliseconds=1)
         factor = faults.slow_factor
         if age_ms < self.settings.cold_start_ms:
-            warm_share = age_ms / self.settings.cold_start_ms
-            factor *= 1 + (self.settings.cold_factor - 1) * (1 - warm_share)
+            warmup_progress = age_ms / self.settings.cold_start_ms
+            factor *= 1 + (self.settings.cold_factor - 1) * (1 - warmup_progress)
         return work.work_ms * factor / 1000
 
 
-def make_handler(
+def wrap_handler(
     method: Callable[[Request], Awaitable[Response]],
 ) -> Callable[[Request], Awaitable[Response]]:
-    """Return a function for a method, since BlackSheep sets attributes on it."""
+    """Wrap a method in a function, because BlackSheep sets attributes on handlers."""
 
     async def handler(request: Request) -> Response:
         return await method(request)
@@ -243,8 +255,8 @@
     return handler
 
 
-def answer_json(value: object, status: int = 200) -> Response:
-    """Return an answer with a JSON body."""
+def build_json_response(value: object, status: int = 200) -> Response:
+    """Build a response with a JSON body."""
     return Response(status, content=Content(b"application/json", encode(value)))
 
 
@@ -256,19 +268,19 @@
 def _encode_other(value: object) -> object:
     if isinstance(value, Counter):
         return dict(value)
-    raise TypeError(f"no JSON form of {type(value).__name__}")
+    raise TypeError(f"{type(value).__name__} can't be encoded as JSON")
 
 
 async def serve(settings: BackendServerSettings, stop: asyncio.Event) -> None:
-    """Run a stand-in until it is told to stop, then leave and finish.
+    """Run a stand-in until ``stop`` is set, then drain and stop it.
 
-    One that has left by ``POST /drain`` still tells its counts until then.
+    After a drain by ``POST /drain`` it still serves its counters until then.
 
-    :param stop: set it to make the stand-in leave and end.
+    :param stop: requests the shutdown when set.
     """
     server = BackendServer(settings)
     await server.start()
     await stop.wait()
-    await server.leave()
-    await server.left.wait()
+    await server.drain()
+    await server.drained.wait()
     await server.stop()
--- a/src/wagtailstep/fakes/control_bus.py
+++ b/src/wagtailstep/fakes/control_bus.py
@@ -1,4 +1,4 @@
-"""A bus that carries control messages between controllers, without any socket."""
+"""A simulated network that carries control messages between controllers."""
 
 import heapq
 import random
@@ -31,26 +31,27 @@
 from wagtailstep.utils.clock import ManualClock
 from wagtailstep.utils.codec import encode_message
 
-TICK_MS = 100
-ANNOUNCE_MS = 1_000
+TICK_INTERVAL_MS = 100
+ANNOUNCE_INTERVAL_MS = 1_000
 
 
 @attrs.define
 class BusNode:
     """The control plane of one daemon on the bus.
 
-    :param blackboard: what the daemon knows.
-    :param controllers: in the order in which they take events.
-    :param announced: targets whose backend servers renew themselves.
+    :param blackboard: shared state of the daemon's controllers.
+    :param controllers: controllers, in the order in which they handle events.
+    :param announced_targets: targets that are announced periodically, by identifier.
     :param events: recorded events, oldest first.
-    :param running: whether it takes events at all.
-    :param follows_log: whether it reads the stream of members.
-    :param log_offset: where it reads on.
+    :param running: whether it handles events; False after it was stopped.
+    :param follows_log: whether it follows the log stream of members.
+    :param log_offset: offset of the next record to read.
+    :param handlers: bound event handlers of ``controllers``.
     """
 
     blackboard: Blackboard
     controllers: Sequence[Controller]
-    announced: dict[str, Target] = attrs.field(factory=dict)
+    announced_targets: dict[str, Target] = attrs.field(factory=dict)
     events: list[RecordEvent] = attrs.field(factory=list)
     running: bool = True
     follows_log: bool = False
@@ -58,7 +59,7 @@
     handlers: list[Callable[[Any], list[Any]]] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Bind the handlers once, as the runtime does."""
+        """Bind the handlers once, like the runtime."""
         self.handlers = [controller.handle for controller in self.controllers]
 
     @property
@@ -68,11 +69,11 @@
 
     @property
     def address(self) -> str:
-        """Return the address of its control channel."""
+        """Return the address of the daemon's control channel."""
         return self.blackboard.this_member.peer_address
 
     def handle(self, event: Any) -> list[Any]:
-        """Give an event to all controllers and return their effects."""
+        """Pass an event to all controllers and return their effects."""
         effects: list[Any] = []
         for handle in self.handlers:
             effects += handle(event)
@@ -80,9 +81,9 @@
 
 
 class ControlBus:
-    """Run the control planes of several daemons on one manual clock.
+    """Runs the control planes of several daemons on one manual clock.
 
-    :param seed: seed of all random choices.
+    :param seed: seed of the random generator.
     """
 
     def __init__(self, seed: int) -> None:
@@ -94,22 +95,23 @@
         self.queue: list[tuple[timedelta, int, BusNode, Any]] = []
         self.sequence = 0
         self.log: list[LogRecord] = []
-        self.log_away = False
+        self.log_unavailable = False
 
     def add(
         self,
         daemon_id: str,
         membership: MembershipSettings,
         services: Sequence[str] = (),
-        wanted: Sequence[str] = (),
+        requested_services: Sequence[str] = (),
         incarnation: int = 0,
         zone: str = "bole",
         clock_skew: timedelta = timedelta(),
         targets_per_service: int = 1,
     ) -> BusNode:
-        """Start a daemon with backend servers of some services.
+        """Start a daemon with backend servers of the given services.
 
-        :param incarnation: 0 takes the wall-clock time in milliseconds.
+        :param requested_services: services whose targets the daemon needs to know.
+        :param incarnation: 0 uses the wall-clock time in milliseconds.
         """
         address = f"{daemon_id}.test:7003"
         started_ms = round((self.clock.utc() + clock_skew).timestamp() * 1_000)
@@ -129,64 +131,75 @@
             announce_address="127.0.0.1:7004",
             membership=membership,
         )
-        node = self._build(settings, Blackboard(member), wanted)
+        node = self._create_node(settings, Blackboard(member), requested_services)
         for service in services:
             for port in range(8_000, 8_000 + targets_per_service):
                 target_id = f"{service}/{daemon_id}.test:{port}"
-                node.announced[target_id] = Target(target_id, service, daemon_id, zone)
+                node.announced_targets[target_id] = Target(
+                    target_id, service, daemon_id, zone
+                )
         self.nodes[daemon_id] = self.addresses[address] = node
-        # Daemons don't tick in step.
-        phase = timedelta(milliseconds=self.rng.uniform(0, TICK_MS))
+        # A random phase, so that daemons don't tick in lockstep.
+        phase = timedelta(milliseconds=self.rng.uniform(0, TICK_INTERVAL_MS))
         self._schedule(phase, node, Tick())
         self._schedule(timedelta(), node, None)
         return node
 
-    def _build(
-        self, settings: DaemonSettings, board: Blackboard, wanted: Sequence[str]
+    def _create_node(
+        self,
+        settings: DaemonSettings,
+        board: Blackboard,
+        requested_services: Sequence[str],
     ) -> BusNode:
-        board.requested_services.update(wanted)
+        board.requested_services.update(requested_services)
         rng = random.Random(self.rng.random())
         arguments = (settings, board, self.clock, rng)
-        kinds = (MembershipController, DisseminationController, AnnouncementController)
-        return BusNode(board, [kind(*arguments) for kind in kinds])
+        controller_types = (
+            MembershipController,
+            DisseminationController,
+            AnnouncementController,
+        )
+        return BusNode(
+            board, [controller_type(*arguments) for controller_type in controller_types]
+        )
 
     def stop(self, daemon_id: str) -> None:
-        """End a daemon without a word."""
+        """Stop a daemon abruptly; it sends no more messages."""
         self.nodes[daemon_id].running = False
 
     def run(self, duration: timedelta) -> None:
-        """Let time pass."""
+        """Advance the clock and process all events that become due."""
         end = self.clock.monotonic() + duration
         while self.queue and self.queue[0][0] <= end:
-            at, _, node, event = heapq.heappop(self.queue)
-            self.clock.advance(max(at - self.clock.monotonic(), timedelta()))
+            due_at, _, node, event = heapq.heappop(self.queue)
+            self.clock.advance(max(due_at - self.clock.monotonic(), timedelta()))
             if node.running:
                 self._process(node, event)
         self.clock.advance(end - self.clock.monotonic())
 
     def dispatch(self, node: BusNode, event: Any) -> None:
-        """Give an event to a daemon and apply the effects."""
+        """Pass an event to a daemon and apply the effects."""
         for effect in node.handle(event):
             self._apply(node, effect)
 
     def _process(self, node: BusNode, event: Any) -> None:
         if event is None:
-            self._renew(node)
+            self._renew_announcements(node)
             return
         if isinstance(event, Tick):
-            self._schedule(timedelta(milliseconds=TICK_MS), node, event)
+            self._schedule(timedelta(milliseconds=TICK_INTERVAL_MS), node, event)
             self._read_log(node)
         self.dispatch(node, event)
 
-    def _renew(self, node: BusNode) -> None:
-        for target in node.announced.values():
+    def _renew_announcements(self, node: BusNode) -> None:
+        for target in node.announced_targets.values():
             self.dispatch(node, TargetAnnounced(target))
-        self._schedule(timedelta(milliseconds=ANNOUNCE_MS), node, None)
+        self._schedule(timedelta(milliseconds=ANNOUNCE_INTERVAL_MS), node, None)
 
     def _schedule(self, delay: timedelta, node: BusNode, event: Any) -> None:
         self.sequence += 1
-        at = self.clock.monotonic() + delay
-        heapq.heappush(self.queue, (at, self.sequence, node, event))
+        due_at = self.clock.monotonic() + delay
+        heapq.heappush(self.queue, (due_at, self.sequence, node, event))
 
     def _apply(self, node: BusNode, effect: Any) -> None:
         if isinstance(effect, SendToPeer):
@@ -199,7 +212,7 @@
             node.events.append(effect)
 
     def send(self, node: BusNode, effect: SendToPeer) -> None:
-        """Carry one message as the rules allow."""
+        """Schedule the delivery of a message, subject to the link rules."""
         receiver = self.addresses.get(effect.address)
         if receiver is None:
             return
@@ -211,14 +224,14 @@
 
     def _append(self, node: BusNode, effect: AppendToLog) -> None:
         offset = None
-        if not self.log_away:
+        if not self.log_unavailable:
             offset = len(self.log)
             self.log.append(LogRecord(offset, encode_message(effect.record)))
-        settled = LogAppendFinished(effect.append_id, offset, may_have_applied=False)
-        self._schedule(timedelta(milliseconds=1), node, settled)
+        result = LogAppendFinished(effect.append_id, offset, may_have_applied=False)
+        self._schedule(timedelta(milliseconds=1), node, result)
 
     def _read_log(self, node: BusNode) -> None:
-        if self.log_away or not node.follows_log:
+        if self.log_unavailable or not node.follows_log:
             return
         records = tuple(self.log[node.log_offset :])
         if records:
--- a/src/wagtailstep/fakes/log_server.py
+++ b/src/wagtailstep/fakes/log_server.py
@@ -1,4 +1,4 @@
-"""The stand-in for the log service on a real port, over HTTP/1.1."""
+"""Serves the stand-in for the log service over HTTP/1.1."""
 
 import asyncio
 import contextlib
@@ -26,7 +26,7 @@
 )
 from wagtailstep.utils.clock import LoopClock
 
-UNANSWERED_S = 20.0
+UNANSWERED_HOLD_S = 20.0
 
 
 def _json(status: int, body: Any) -> Response:
@@ -41,14 +41,14 @@
     except LogUnavailableError:
         return _json(503, None)
     except AppendUnknownError:
-        await _hold_answer()
+        await _withhold_response()
         return _json(504, None)
 
 
-async def _hold_answer() -> None:
-    # The server cancels what is still held back when it ends; that is no fault.
+async def _withhold_response() -> None:
+    # The server cancels withheld responses at shutdown; that is not an error.
     with contextlib.suppress(asyncio.CancelledError):
-        await asyncio.sleep(UNANSWERED_S)
+        await asyncio.sleep(UNANSWERED_HOLD_S)
 
 
 async def _read(log: InMemoryLogService, request: Request, stream: str) -> Response:
@@ -57,7 +57,7 @@
     try:
         batch = await log.read(stream, offset, limit)
     except LogUnavailableError:
-        return await _refuse_read(log)
+        return await _handle_unavailable_read(log)
     except RecordExpiredError as error:
         return _json(410, StreamReply(error.oldest))
     records = tuple(RecordReply(item.offset, item.data) for item in batch.records)
@@ -68,28 +68,28 @@
     try:
         return _json(200, StreamReply(await log.oldest_offset(stream)))
     except LogUnavailableError:
-        return await _refuse_read(log)
+        return await _handle_unavailable_read(log)
 
 
-async def _refuse_read(log: InMemoryLogService) -> Response:
+async def _handle_unavailable_read(log: InMemoryLogService) -> Response:
     if log.faults.silent:
-        await _hold_answer()
+        await _withhold_response()
     return _json(503, None)
 
 
 async def _set_faults(log: InMemoryLogService, request: Request) -> Response:
-    wanted = msgspec.json.decode(await request.read() or b"{}")
+    changes = msgspec.json.decode(await request.read() or b"{}")
     try:
-        changed = attrs.evolve(log.faults, **wanted)
+        changed = attrs.evolve(log.faults, **changes)
         log.faults = msgspec.convert(attrs.asdict(changed), LogFaults)
     except (TypeError, msgspec.ValidationError) as error:
         return _json(400, str(error))
     return _json(200, log.faults)
 
 
-def make_application(log: InMemoryLogService) -> Application:
-    """Return the HTTP application around a log service in memory."""
-    # Without a router of its own an application shares one with all others.
+def create_application(log: InMemoryLogService) -> Application:
+    """Return an HTTP application that serves an in-memory log service."""
+    # Without an explicit router, all applications share a global one.
     app = Application(router=Router())
 
     @app.router.post("/streams/{stream}/records")
@@ -123,45 +123,47 @@
     stop: asyncio.Event | None = None,
     run_time: timedelta | None = None,
 ) -> None:
-    """Serve the stand-in until it is stopped by a signal, an event or its run time.
+    """Serve the stand-in until a signal, an event or the end of its run time.
 
     :param port: TCP port; 0 lets the system choose.
-    :param on_started: called with the port once requests are taken.
-    :param stop: ends the service when set.
-    :param run_time: ends the service after this time.
+    :param on_started: called with the port once requests are accepted.
+    :param stop: stops the service when set.
+    :param run_time: stops the service after this time.
     :raises SettingsError: if the address can't be bound.
     """
     log = InMemoryLogService(LoopClock(), faults)
     config = uvicorn.Config(
-        make_application(log),
+        create_application(log),
         host=host,
         port=port,
         log_level="critical",
         timeout_graceful_shutdown=1,
     )
     server = uvicorn.Server(config)
-    watcher = asyncio.create_task(_watch(server, on_started, stop, run_time))
+    stop_task = asyncio.create_task(_stop_when_due(server, on_started, stop, run_time))
     try:
         await server.serve()
     except SystemExit as error:
-        raise SettingsError(f"can't listen on {host}:{port}; choose another") from error
+        raise SettingsError(
+            f"can't listen on {host}:{port}; choose another address"
+        ) from error
     finally:
-        watcher.cancel()
+        stop_task.cancel()
 
 
-async def _watch(
+async def _stop_when_due(
     server: uvicorn.Server,
     on_started: Callable[[int], None] | None,
-    stop: asyncio.Event | None,
+    stop_event: asyncio.Event | None,
     run_time: timedelta | None,
 ) -> None:
     while not server.started:
         await asyncio.sleep(0.01)
     if on_started is not None:
         on_started(server.servers[0].sockets[0].getsockname()[1])
-    limit = None if run_time is None else run_time.total_seconds()
+    run_time_s = None if run_time is None else run_time.total_seconds()
     try:
-        await asyncio.wait_for((stop or asyncio.Event()).wait(), limit)
+        await asyncio.wait_for((stop_event or asyncio.Event()).wait(), run_time_s)
     except TimeoutError:
         pass
     server.should_exit = True
--- a/src/wagtailstep/platform/heartbeats.py
+++ b/src/wagtailstep/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of the target on this machine, turned into announcements."""
+"""Converts heartbeats of the target on this machine into announcements."""
 
 import logging
 from collections.abc import Callable
@@ -12,22 +12,22 @@
 from wagtailstep.models.fleet import Target, TargetStanding, TargetState
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.network.announcements import check_address, check_slots
-from wagtailstep.platform.configuration import read_time
+from wagtailstep.platform.configuration import parse_duration
 from wagtailstep.utils.clock import Clock
 from wagtailstep.utils.logging import log_event
 
 LOGGER = logging.getLogger(__name__)
-PATH = "/v1/instances/{id}"
-STATES = {"ready": TargetState.SERVING, "draining": TargetState.LEAVING}
+INSTANCE_PATH = "/v1/instances/{id}"
+TARGET_STATES = {"ready": TargetState.SERVING, "draining": TargetState.LEAVING}
 
 
 class Heartbeat(msgspec.Struct, rename="kebab"):
-    """What a target says of itself.
+    """Body of a heartbeat.
 
-    :param address: ``host:port``; only processes on its machine reach it.
-    :param warmup_left: how much longer it is slow after its start.
-    :param sequence: rises with each call of one process.
-    :param born: Unix time of its start in milliseconds.
+    :param address: ``host:port`` of the target; reachable only from its own machine.
+    :param warmup_left: remaining time of its warm-up, during which it is slow.
+    :param sequence: increases with each heartbeat of one process.
+    :param born: start time of the process, as Unix time in milliseconds.
     """
 
     service: str
@@ -39,12 +39,12 @@
     born: int = 0
 
 
-class HeartbeatRoutes:
-    """Turn heartbeats into events, or refuse them with a reason.
+class HeartbeatHandler:
+    """Converts heartbeats into events; logs and rejects malformed ones.
 
-    :param dispatch: takes the events.
+    :param dispatch: called with each event.
     :param settings: settings of the daemon.
-    :param clock: tells when a target left.
+    :param clock: clock for the time of a withdrawal.
     """
 
     def __init__(
@@ -54,46 +54,46 @@
         self.settings = settings
         self.clock = clock
 
-    async def beat(self, request: Request) -> Response:
-        """Take a heartbeat."""
+    async def handle_heartbeat(self, request: Request) -> Response:
+        """Handle a heartbeat."""
         instance_id = request.route_values["id"]
         try:
-            event = self.read(instance_id, await request.read() or b"")
+            event = self.parse_heartbeat(instance_id, await request.read() or b"")
         except (msgspec.MsgspecError, BadRequestError, DecodeError) as error:
             log_event(LOGGER, "heartbeat-refused", instance=instance_id, error=error)
             return Response(400)
         self.dispatch(event)
         return Response(200, None, Content(b"application/json", b"{}"))
 
-    def read(self, instance_id: str, body: bytes) -> TargetAnnounced:
-        """Return the announcement that a heartbeat stands for.
+    def parse_heartbeat(self, instance_id: str, body: bytes) -> TargetAnnounced:
+        """Convert the body of a heartbeat into an announcement.
 
-        :raises MsgspecError: if the body has missing or wrong fields.
+        :raises MsgspecError: if the body has missing or invalid fields.
         :raises BadRequestError: if a value is not allowed.
-        :raises DecodeError: if a time can't be read.
+        :raises DecodeError: if a duration is malformed.
         """
-        beat = msgspec.json.decode(body, type=Heartbeat)
-        if beat.state not in STATES:
-            raise BadRequestError(f"state {beat.state!r} is unknown")
-        check_address(beat.address, self.settings)
-        check_slots(beat.slots)
-        warming = bool(read_time(beat.warmup_left))
+        heartbeat = msgspec.json.decode(body, type=Heartbeat)
+        if heartbeat.state not in TARGET_STATES:
+            raise BadRequestError(f"state {heartbeat.state!r} is unknown")
+        check_address(heartbeat.address, self.settings)
+        check_slots(heartbeat.slots)
+        warming = bool(parse_duration(heartbeat.warmup_left))
         target = Target(
-            target_id=f"{beat.service}/{instance_id}",
-            service=beat.service,
+            target_id=f"{heartbeat.service}/{instance_id}",
+            service=heartbeat.service,
             daemon_id=self.settings.daemon_id,
             availability_zone=self.settings.availability_zone,
-            slots=beat.slots,
-            state=STATES[beat.state],
+            slots=heartbeat.slots,
+            state=TARGET_STATES[heartbeat.state],
             standing=TargetStanding.WARMING if warming else TargetStanding.GOOD,
-            address=beat.address,
+            address=heartbeat.address,
         )
-        return TargetAnnounced(target, beat.born, beat.sequence)
+        return TargetAnnounced(target, heartbeat.born, heartbeat.sequence)
 
-    async def leave(self, request: Request) -> Response:
-        """Take the withdrawal of a target."""
+    async def handle_withdrawal(self, request: Request) -> Response:
+        """Handle the withdrawal of a target."""
         instance_id = request.route_values["id"]
-        # ``born`` of a heartbeat is Unix time in milliseconds as well.
+        # Same unit and epoch as ``born`` of a heartbeat.
         now_ms = int(self.clock.utc().timestamp() * 1_000)
         event = InstanceWithdrawn(instance_id, self.settings.service, now_ms)
         self.dispatch(event)
@@ -107,14 +107,14 @@
     clock: Clock,
 ) -> None:
     """Add the routes for heartbeats to an application."""
-    routes = HeartbeatRoutes(dispatch, settings, clock)
+    handler = HeartbeatHandler(dispatch, settings, clock)
 
-    # The router marks its handlers, which only plain functions allow.
-    async def beat(request: Request) -> Response:
-        return await routes.beat(request)
+    # The router sets attributes on its handlers, which only works for functions.
+    async def handle_heartbeat(request: Request) -> Response:
+        return await handler.handle_heartbeat(request)
 
-    async def leave(request: Request) -> Response:
-        return await routes.leave(request)
+    async def handle_withdrawal(request: Request) -> Response:
+        return await handler.handle_withdrawal(request)
 
-    app.router.add("PUT", PATH, beat)
-    app.router.add("DELETE", PATH, leave)
+    app.router.add("PUT", INSTANCE_PATH, handle_heartbeat)
+    app.router.add("DELETE", INSTANCE_PATH, handle_withdrawal)
--- a/src/wagtailstep/platform/program.py
+++ b/src/wagtailstep/platform/program.py
@@ -1,4 +1,4 @@
-"""The commands of the program that the platform starts on each machine."""
+"""Commands of the program that the platform starts on each machine."""
 
 import os
 import sys
@@ -18,31 +18,33 @@
 def run() -> int:
     """Run a daemon on the platform until SIGTERM.
 
-    Exit codes are those of ``wagtailstep-daemon run``.
+    Exit codes are the same as for ``wagtailstep-daemon run``.
     """
-    settings = find_settings()
-    whole = run_daemon(
+    settings = read_platform_settings()
+    drained = run_daemon(
         settings.daemon,
         lambda: PlatformDaemon(settings, LoopClock()),
-        lambda: find_settings().daemon,
+        lambda: read_platform_settings().daemon,
     )
-    return status_codes.SUCCESS if whole else status_codes.ERROR
+    return status_codes.SUCCESS if drained else status_codes.ERROR
 
 
 def check() -> int:
-    """Check the settings file and start nothing."""
-    print(f"ok: settings of daemon {find_settings().daemon.daemon_id}")
+    """Validate the settings file without starting the daemon."""
+    print(f"ok: settings of daemon {read_platform_settings().daemon.daemon_id}")
     return status_codes.SUCCESS
 
 
-def find_settings() -> PlatformSettings:
-    """Read the settings file that the platform names.
+def read_platform_settings() -> PlatformSettings:
+    """Read the settings file named by the platform in an environment variable.
 
-    :raises SettingsError: if it is missing or wrong.
+    :raises SettingsError: if the file is missing or invalid.
     """
     path = os.environ.get(FILE_VARIABLE)
     if not path:
-        raise SettingsError(f"variable {FILE_VARIABLE} names no settings file")
+        raise SettingsError(
+            f"variable {FILE_VARIABLE} is not set; it names the settings file"
+        )
     return read_settings(path, PlatformSettings)
 
 
--- a/src/wagtailstep/platform/stand_in.py
+++ b/src/wagtailstep/platform/stand_in.py
@@ -10,59 +10,67 @@
 from blacksheep import Application, Content, Request, Response, Router
 
 from wagtailstep.network.http_server import HttpServer
-from wagtailstep.platform.store import LENGTH, OFFSETS, split_record, split_records
+from wagtailstep.platform.store import (
+    READ_HEADER,
+    RECORD_LENGTH,
+    parse_keyed_record,
+    parse_records,
+)
 
-LONGEST_SILENCE_S = 3_600.0
+UNANSWERED_CALL_S = 3_600.0
 
 
 @attrs.define
 class Topic:
-    """Records of partition 0.
+    """Records of a topic in its only partition, 0.
 
     :param records: records with their offsets.
-    :param end: offset of the next record.
-    :param first: oldest offset that is retained.
+    :param next_offset: offset of the next record.
+    :param oldest_offset: oldest offset that can be read.
+    :param appended: set when the next record is appended.
     """
 
     records: list[tuple[int, bytes]] = attrs.field(factory=list)
-    end: int = 0
-    first: int = 0
-    grown: asyncio.Event = attrs.field(factory=asyncio.Event)
+    next_offset: int = 0
+    oldest_offset: int = 0
+    appended: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def append(self, record: bytes) -> int:
         """Append a record and return its offset."""
-        offset = self.end
+        offset = self.next_offset
         self.records.append((offset, record))
-        self.end += 1
-        self.grown.set()
-        self.grown = asyncio.Event()
+        self.next_offset += 1
+        self.appended.set()
+        self.appended = asyncio.Event()
         return offset
 
     def compact(self) -> None:
-        """Keep only the newest record of each key, and no history."""
-        newest = {split_record(record)[0]: (at, record) for at, record in self.records}
-        self.records = sorted(newest.values())
-        self.first = self.end
+        """Drop all but the newest record of each key, and expire earlier offsets."""
+        newest_records = {
+            parse_keyed_record(record)[0]: (at, record) for at, record in self.records
+        }
+        self.records = sorted(newest_records.values())
+        self.oldest_offset = self.next_offset
 
 
 @attrs.define
 class StoreFaults:
-    """What goes wrong with the next calls.
+    """Injected faults.
 
-    :param status: answered to calls that then have no effect; 0 for none.
-    :param silent: calls have no effect and get no answer.
-    :param lost_answers: appends that take effect and get no answer.
-    :param garbled: answers are cut in the middle.
+    :param status: status of responses to calls, which then have no effect; 0 for none.
+    :param silent: whether calls have no effect and get no response.
+    :param lost_answers: number of next appends that take effect but get no response.
+    :param truncated_answers: whether response bodies are truncated.
     """
 
     status: int = 0
     silent: bool = False
     lost_answers: int = 0
-    garbled: bool = False
+    truncated_answers: bool = False
 
 
 class StandInStore:
-    """Serve the calls that the adapter makes, by the published protocol."""
+    """Serves the calls that the adapter makes, according to the published protocol."""
 
     def __init__(self) -> None:
         self.topics: dict[str, Topic] = {}
@@ -70,24 +78,24 @@
         self.calls: list[str] = []
         self.app = Application(router=Router())
         self.server = HttpServer(self.app, lambda: None)
-        self.add_routes()
+        self.register_endpoints()
 
     async def start(self, address: str) -> str:
-        """Listen on ``host:port`` and return where."""
+        """Listen on ``host:port`` and return the bound address."""
         await self.app.start()
         return await self.server.start(address)
 
-    def topic(self, name: str) -> Topic:
-        """Return a topic, made on first use."""
+    def get_topic(self, name: str) -> Topic:
+        """Return a topic, which is created on first use."""
         return self.topics.setdefault(name, Topic())
 
     def put(self, topic: str, key: str, value: bytes) -> None:
-        """Write a keyed record, as the operator does."""
+        """Append a keyed record, as the operator does."""
         name = key.encode()
-        self.topic(topic).append(bytes([len(name)]) + name + value)
+        self.get_topic(topic).append(bytes([len(name)]) + name + value)
 
-    def add_routes(self) -> None:
-        """Add the calls to the application."""
+    def register_endpoints(self) -> None:
+        """Register the endpoints."""
 
         async def append(request: Request) -> Response:
             return await self.serve(request, self.append)
@@ -103,52 +111,52 @@
         self.app.router.add_get("/v1/log-newest", newest)
 
     async def serve(self, request: Request, call: Any) -> Response:
-        """Serve a call, or what its fault makes of it."""
+        """Serve a call subject to the injected faults."""
         self.calls.append(request.url.path.decode())
         if self.faults.silent:
-            await asyncio.sleep(LONGEST_SILENCE_S)
+            await asyncio.sleep(UNANSWERED_CALL_S)
         if self.faults.status:
             return Response(self.faults.status)
         query = {name: values[0] for name, values in request.query.items()}
         body = await request.read() or b""
-        response = await call(self.topic(query["topic"]), query, body)
-        if self.faults.garbled:
+        response = await call(self.get_topic(query["topic"]), query, body)
+        if self.faults.truncated_answers:
             content = response.content
             response.content = Content(content.type, content.body[:-3])
         return response
 
     async def append(self, topic: Topic, query: dict[str, str], body: bytes) -> Any:
-        """Append records, all or nothing."""
-        offset = topic.end
-        for record in split_records(bytes(OFFSETS.size) + body):
+        """Append the records of a body, all or nothing."""
+        offset = topic.next_offset
+        for record in parse_records(bytes(READ_HEADER.size) + body):
             topic.append(record)
         if self.faults.lost_answers:
             self.faults.lost_answers -= 1
-            await asyncio.sleep(LONGEST_SILENCE_S)
-        return answer_json({"offset": offset, "end": topic.end})
+            await asyncio.sleep(UNANSWERED_CALL_S)
+        return build_json_response({"offset": offset, "end": topic.next_offset})
 
     async def read(self, topic: Topic, query: dict[str, str], body: bytes) -> Response:
-        """Read records, waiting for the first one."""
+        """Read records; wait for the first one if there is none yet."""
         start = int(query["from"])
-        if start < topic.first:
-            return answer_json({"first": topic.first}, HTTPStatus.GONE)
-        if start >= topic.end:
+        if start < topic.oldest_offset:
+            return build_json_response({"first": topic.oldest_offset}, HTTPStatus.GONE)
+        if start >= topic.next_offset:
             wait_s = int(query.get("wait-ms", "0")) / 1_000
             try:
-                await asyncio.wait_for(topic.grown.wait(), wait_s)
+                await asyncio.wait_for(topic.appended.wait(), wait_s)
             except TimeoutError:
                 pass
-        data = OFFSETS.pack(topic.end, topic.first)
+        data = READ_HEADER.pack(topic.next_offset, topic.oldest_offset)
         for offset, record in topic.records:
             if offset >= start:
-                data += LENGTH.pack(len(record)) + record
+                data += RECORD_LENGTH.pack(len(record)) + record
         return Response(200, None, Content(b"application/octet-stream", data))
 
     async def newest(self, topic: Topic, query: dict[str, str], body: bytes) -> Any:
         """Return the newest record of each key."""
         newest: dict[str, tuple[int, bytes]] = {}
         for offset, record in topic.records:
-            key, value = split_record(record)
+            key, value = parse_keyed_record(record)
             newest.pop(key, None)
             if value:
                 newest[key] = (offset, value)
@@ -156,10 +164,12 @@
             {"key": key, "value": base64.b64encode(value).decode(), "offset": offset}
             for key, (offset, value) in sorted(newest.items())
         ]
-        return answer_json({"items": items, "has-more": False, "end": topic.end})
+        return build_json_response(
+            {"items": items, "has-more": False, "end": topic.next_offset}
+        )
 
 
-def answer_json(body: Any, status: int = HTTPStatus.OK) -> Response:
-    """Return an answer with a JSON body."""
+def build_json_response(body: Any, status: int = HTTPStatus.OK) -> Response:
+    """Build a response with a JSON body."""
     content = Content(b"application/json", msgspec.json.encode(body))
     return Response(int(status), None, content)
