--- a/src/wagtailstep/network/gate.py
+++ b/src/wagtailstep/network/gate.py
@@ -307,7 +307,7 @@
         body = answer.body
 
         async def close() -> None:
-            complete = body.whole
+            complete = body.complete
             await answer.close()
             self.release_slot(request, result if complete else RunResult.ABANDONED)
             self.report_work_result(request, None, answer.status, complete, body.failed)
