--- a/features/ejection_world.py
+++ b/features/ejection_harness.py
@@ -47,7 +47,7 @@
     dead: bool = False
 
 
-class EjectionWorld:
+class EjectionHarness:
     """A fleet that is judged at random while the log and the network misbehave."""
 
     def __init__(self, seed, floor=4.0, daemons=5, targets=8):
--- a/features/steps/ejection_steps.py
+++ b/features/steps/ejection_steps.py
@@ -5,7 +5,7 @@
 import attrs
 from behave import given, then, when
 
-from ejection_world import SERVICE, STEP_S, STREAM, Daemon, EjectionWorld
+from ejection_harness import SERVICE, STEP_S, STREAM, Daemon, EjectionHarness
 from wagtailstep.controllers.ejection import EjectionController
 from wagtailstep.controllers.ejection_fold import EjectionFold
 from wagtailstep.controllers.ejection_state import SETTLE_MS
@@ -27,7 +27,7 @@
 
 @given("{count:d} fleets under {trouble}")
 def make_fleets(context, count, trouble):
-    context.worlds = [EjectionWorld(seed) for seed in range(count)]
+    context.worlds = [EjectionHarness(seed) for seed in range(count)]
     context.troubles = TROUBLE[trouble]
 
 
@@ -106,14 +106,14 @@
 
 @given("a fleet in which one daemon ejected a target")
 def eject_one(context):
-    context.world = EjectionWorld(3, floor=1.0)
+    context.world = EjectionHarness(3, floor=1.0)
     context.name = sorted(context.world.targets)[0]
     eject(context.world, context.name)
 
 
 @given("a fleet in which one daemon ejected two targets in turn")
 def eject_two(context):
-    context.world = EjectionWorld(3, floor=1.0)
+    context.world = EjectionHarness(3, floor=1.0)
     names = sorted(context.world.targets, key=context.world.table.weight)
     context.names = [names[-1], names[-2]]
     for name in context.names:
@@ -190,7 +190,7 @@
 
 @given("a stream whose last ejection was never renewed or ended")
 def make_old_stream(context):
-    context.world = EjectionWorld(3, floor=1.0)
+    context.world = EjectionHarness(3, floor=1.0)
     eject(context.world, sorted(context.world.targets)[0])
     for daemon in context.world.daemons:
         daemon.dead = True
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -116,7 +116,7 @@
         raise KeyError("bug")
 
 
-class EntryWorld:
+class EntryHarness:
     """One entry with its controllers and the smallest possible runtime."""
 
     def __init__(self, target_count):
@@ -162,7 +162,7 @@
 
 @given('an entry that knows {count:d} targets of service "contracts"')
 def set_entry(context, count):
-    context.world = EntryWorld(count)
+    context.world = EntryHarness(count)
     context.error = None
 
 
--- a/features/steps/keyed_entry_steps.py
+++ b/features/steps/keyed_entry_steps.py
@@ -6,7 +6,7 @@
 import detangle
 from at_most_once_steps import STREAM
 from behave import then, when
-from entry_steps import EntryWorld, make_incoming, read_answer, yield_chunks
+from entry_steps import EntryHarness, make_incoming, read_answer, yield_chunks
 
 from wagtailstep.models import headers
 from wagtailstep.models.events import LogRecordsRead
@@ -28,7 +28,7 @@
 
 @when("a caller goes away while its key is claimed")
 def leave_while_claimed(context):
-    world = context.world = EntryWorld(3)
+    world = context.world = EntryHarness(3)
 
     async def call():
         task = start_keyed(world, world.make_entry())
@@ -42,7 +42,7 @@
 
 @when("a caller goes away in the step in which its claim is won")
 def leave_with_decision(context):
-    world = context.world = EntryWorld(3)
+    world = context.world = EntryHarness(3)
 
     async def call():
         task = start_keyed(world, world.make_entry())
@@ -64,7 +64,7 @@
 
 @when("a ticket is used at an entry and then again with another {part:w}")
 def use_twice(context, part):
-    world = EntryWorld(3)
+    world = EntryHarness(3)
 
     async def call():
         entry = world.make_entry()
@@ -90,7 +90,7 @@
 
 @when("a keyed request wins its claim at an entry that pauses past the deadline")
 def pause_after_claim(context):
-    world = context.world = EntryWorld(3)
+    world = context.world = EntryHarness(3)
 
     async def call():
         entry = world.make_entry()
