--- a/features/announcements.feature
+++ b/features/announcements.feature
@@ -1,5 +1,5 @@
 Feature: Backend servers announce themselves to the daemon beside them
-  Scenario: An announcement that is not renewed lapses by the local clock
+  Scenario: A target whose announcement is not renewed is withdrawn by the local clock
     Given a controller of announcements
     When its backend server "contracts/127.0.0.1:8000" announces itself
     Then the local target is "serving"
@@ -26,7 +26,7 @@
     Then the local target is "serving"
     And its incarnation rose 1 times
 
-  Scenario: A daemon that drains says so for its backend servers
+  Scenario: A draining daemon marks its targets as leaving
     Given a controller of announcements
     When its backend server "contracts/127.0.0.1:8000" announces itself
     And the daemon drains
@@ -41,15 +41,15 @@
   Scenario: Announcements over loopback HTTP
     Given an announcement route of a daemon at 127.0.0.1
     When "PUT" "/v1/targets/contracts" is sent with {"address": "127.0.0.1:8000"}
-    Then the answer has status 200 and 1 announcements were taken
+    Then the answer has status 200 and 1 announcements were accepted
     When "DELETE" "/v1/targets/contracts?address=127.0.0.1:8000" is sent with nothing
-    Then the answer has status 200 and 1 withdrawals were taken
+    Then the answer has status 200 and 1 withdrawals were accepted
 
   Scenario Outline: A wrong announcement is refused and logged once
     Given an announcement route of a daemon at 127.0.0.1
     When "PUT" "/v1/targets/<service>" is sent with <body>
     And "PUT" "/v1/targets/<service>" is sent with <body>
-    Then the answer has status <status> and 0 announcements were taken
+    Then the answer has status <status> and 0 announcements were accepted
     And the answer is a problem that names "<name>"
     And it was logged 1 times
 
--- a/features/steps/announcements_steps.py
+++ b/features/steps/announcements_steps.py
@@ -23,7 +23,7 @@
 
 
 @given("a controller of announcements")
-def make_controller(context):
+def create_controller(context):
     member = Member("d1", 1, "127.0.0.1:7003", "127.0.0.1:7002", "bole")
     context.board = Blackboard(member)
     context.clock = ManualClock()
@@ -74,7 +74,7 @@
 
 
 class LogCollector(logging.Handler):
-    """Keep log lines."""
+    """Collects the messages of log records."""
 
     def __init__(self):
         super().__init__()
@@ -85,10 +85,10 @@
 
 
 @given("an announcement route of a daemon at 127.0.0.1")
-def make_route(context):
+def create_route(context):
     context.app = Application(router=Router())
-    context.taken = []
-    add_announcement_routes(context.app, context.taken.append, SETTINGS, ManualClock())
+    context.events = []
+    add_announcement_routes(context.app, context.events.append, SETTINGS, ManualClock())
     asyncio.run(context.app.start())
     context.collector = LogCollector()
     LOGGER.addHandler(context.collector)
@@ -96,26 +96,26 @@
 
 
 @when('"{method}" "{path}" is sent with {body}')
-def send(context, method, path, body):
+def send_request(context, method, path, body):
     request = Request(method, path.encode(), [])
     if body != "nothing":
         request = request.with_content(Content(b"application/json", body.encode()))
     context.response = asyncio.run(context.app.handle(request))
 
 
-@then("the answer has status {status:d} and {count:d} announcements were taken")
+@then("the answer has status {status:d} and {count:d} announcements were accepted")
 def check_announced(context, status, count):
     assert context.response.status == status, context.response.status
-    found = [event for event in context.taken if isinstance(event, TargetAnnounced)]
+    found = [event for event in context.events if isinstance(event, TargetAnnounced)]
     assert len(found) == count
     assert all(e.target.target_id == "contracts/127.0.0.1:8000" for e in found)
 
 
-@then("the answer has status {status:d} and {count:d} withdrawals were taken")
+@then("the answer has status {status:d} and {count:d} withdrawals were accepted")
 def check_withdrawn(context, status, count):
     assert context.response.status == status, context.response.status
     expected = [TargetWithdrawn("contracts/127.0.0.1:8000")] * count
-    assert [e for e in context.taken if isinstance(e, TargetWithdrawn)] == expected
+    assert [e for e in context.events if isinstance(e, TargetWithdrawn)] == expected
 
 
 @then('the answer is a problem that names "{name}"')
