--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -8,20 +8,20 @@
     Then the ticket at "a" is decided as "run"
     When the run at "a" ends as "run" with the answer "signed"
     Then the ticket at "a" is decided as "replay" of "signed"
-    And the ticket at "b" is decided as "pass on" to "a"
+    And the ticket at "b" is decided as "relay" to "a"
 
   Scenario: A ticket runs nowhere else
     Given a ticket of daemon "a"
-    When daemon "a" is known as dead at "b"
+    When daemon "a" is considered dead at "b"
     Then the ticket at "b" is decided as "refuse" with "may-have-run"
-    And the ticket passed on to "c" by mistake is decided as "refuse" with "may-have-run"
+    And the ticket relayed to "c" by mistake is decided as "refuse" with "may-have-run"
 
   Scenario: A restarted issuer runs none of its older tickets
     Given a ticket of daemon "a"
     When daemon "a" restarts
     Then the ticket at "a" is decided as "refuse" with "may-have-run"
 
-  Scenario: A ticket is usable again after a fact of "not run"
+  Scenario: A ticket is usable again after a run that certainly did not happen
     Given a ticket of daemon "a"
     Then the ticket at "a" is decided as "run"
     When the run at "a" ends as "not-run"
@@ -29,7 +29,7 @@
     When the run at "a" ends as "may-have-run"
     Then the ticket at "a" is decided as "refuse" with "may-have-run"
 
-  Scenario: A resend while the first sending runs waits for its answer
+  Scenario: A resend while the first request runs waits for its answer
     Given a ticket of daemon "a"
     Then the ticket at "a" is decided as "run"
     And the ticket at "a" is decided as "wait"
@@ -41,18 +41,18 @@
     Then the ticket at "a" is decided as "run"
     And the ticket at "a" with another body is decided as "refuse" with "not-run"
 
-  Scenario: Many tickets are forgotten, never run twice
+  Scenario: A ticket discarded for many newer ones is refused, not run again
     Given a ticket of daemon "a"
     When the ticket has run at "a" and 10001 more tickets are issued
     Then the ticket at "a" is decided as "refuse" with "may-have-run"
 
-  Scenario: A ticket that runs is not forgotten
+  Scenario: A ticket whose request is running is not discarded
     Given a ticket of daemon "a"
     Then the ticket at "a" is decided as "run"
     When 10001 more tickets are issued at "a"
     Then the ticket at "a" is decided as "wait"
 
-  Scenario: A daemon that leaves knows of the tickets that are still to be used
+  Scenario: A daemon knows which of its tickets are still unused
     Given a ticket of daemon "a"
     Then "a" has open tickets
     And the ticket at "a" is decided as "run"
@@ -68,91 +68,91 @@
     Then the ticket at "a" for service "archive" is decided as "refuse" with "not-run"
     And the ticket at "a" is decided as "run"
 
-  Scenario: Kept answers have a bounded size
+  Scenario: The stored answers have a bounded size
     When 400 tickets run at "a" with answers of 16000 bytes each
     Then at most 4194304 bytes of answers are kept at "a"
 
   Scenario: The first claim in the log's order wins at every daemon
-    When "a" and "b" claim the key "k1" at once and the appends of "b" come first
+    When "a" and "b" claim the key "k1" at once and the appends of "b" come first in the log
     Then the request at "b" is decided as "run"
-    And the request at "a" is decided as "pass on" to "b"
+    And the request at "a" is decided as "relay" to "b"
 
   Scenario: Keys of different client accounts are different
     When client account "union" claims the key "k1" at "a" and client account "hall" at "b"
     Then the request at "a" is decided as "run"
     And the request at "b" is decided as "run"
 
-  Scenario: An acknowledgment decides nothing while an earlier record is unread
+  Scenario: An acknowledged append does not decide while an earlier record is unread
     When "b" claims the key "k1" and its append applies without acknowledgment
     And "a" claims the key "k1" and its append is acknowledged
     Then the request at "a" is not decided
-    When the log is read everywhere
-    Then the request at "a" is decided as "pass on" to "b"
+    When all daemons read the log
+    Then the request at "a" is decided as "relay" to "b"
 
-  Scenario: An acknowledgment decides once all earlier records are read
+  Scenario: An acknowledged append decides once all earlier records are read
     When "b" claims the key "k1"
     And the claimed run at "b" ends as "not-run"
-    And the appends of "b" are made and read everywhere
+    And the appends of "b" are completed and read by all daemons
     And "a" claims the key "k1" and its append is acknowledged
     Then the request at "a" is decided as "run"
-    When the log is read everywhere
+    When all daemons read the log
     And "c" claims the key "k1"
-    Then the request at "c" is decided as "pass on" to "a"
+    Then the request at "c" is decided as "relay" to "a"
 
-  Scenario: A lost acknowledgment is settled by reading
+  Scenario: A claim without acknowledgment is decided by reading the log
     When "a" claims the key "k1" and its append applies without acknowledgment
-    And the log is read everywhere
+    And all daemons read the log
     Then the request at "a" is decided as "run"
     And nothing is appended again by "a"
 
-  Scenario: A lost append is made again
+  Scenario: A lost append is retried
     When "a" claims the key "k1" and its append is lost without acknowledgment
     And 600 ms pass
     Then the claim of "a" is appended once more
 
-  Scenario: A claim given up and read late is released, not run
+  Scenario: A claim that is cancelled and then read is released, not run
     When "a" claims the key "k1" and its append is lost without acknowledgment
-    And the request at "a" is given up
+    And the request at "a" is cancelled
     And the lost append of "a" applies late
-    And the log is read everywhere
+    And all daemons read the log
     Then the request at "a" is not decided
-    When the appends of "a" are made and read everywhere
+    When the appends of "a" are completed and read by all daemons
     And "b" claims the key "k1"
     Then the request at "b" is decided as "run"
 
-  Scenario: A copy of a claim that comes after its release is released again
+  Scenario: A repeated record of a claim that follows its release is released again
     When "a" claims the key "k1" and its append is lost without acknowledgment
     And 600 ms pass
-    And the appends of "a" are made and read everywhere
+    And the appends of "a" are completed and read by all daemons
     Then the request at "a" is decided as "run"
     When the claimed run at "a" ends as "not-run"
-    And the appends of "a" are made and read everywhere
+    And the appends of "a" are completed and read by all daemons
     And the lost append of "a" applies late
-    And the log is read everywhere
-    And the appends of "a" are made and read everywhere
+    And all daemons read the log
+    And the appends of "a" are completed and read by all daemons
     And "b" claims the key "k1"
     Then the request at "b" is decided as "run"
 
-  Scenario: A run that ended as not run releases its key, one that may have run doesn't
+  Scenario: A run that ended as not-run releases its key, one that may have run does not
     When "a" claims the key "k1"
     And the claimed run at "a" ends as "not-run"
-    And the appends of "a" are made and read everywhere
+    And the appends of "a" are completed and read by all daemons
     And "b" claims the key "k1"
     Then the request at "b" is decided as "run"
     When the claimed run at "b" ends as "may-have-run"
-    And the appends of "b" are made and read everywhere
+    And the appends of "b" are completed and read by all daemons
     And "c" claims the key "k1"
-    Then the request at "c" is decided as "pass on" to "b"
+    Then the request at "c" is decided as "relay" to "b"
 
-  Scenario: The key of a holder that is gone stays held
+  Scenario: A key stays held when the daemon that holds it restarts
     When "a" claims the key "k1"
     And daemon "a" restarts
     And "b" claims the key "k1"
-    Then the request at "b" is decided as "pass on" to "a"
-    And the key "k1" passed on to "a" is decided as "refuse" with "may-have-run"
+    Then the request at "b" is decided as "relay" to "a"
+    And the key "k1" relayed to "a" is decided as "refuse" with "may-have-run"
 
-  Scenario Outline: With the log away a key is refused at once
-    When the log is away for all three daemons
+  Scenario Outline: While the log is unavailable a key is refused at once
+    When the log is unavailable for all three daemons
     And "a" gets a request with key "k1" that is "<sending>"
     Then the request at "a" is decided as "refuse" with "<verdict>"
 
@@ -161,18 +161,18 @@
       | a first sending | not-run      |
       | perhaps resent  | may-have-run |
 
-  Scenario: With the log away the table may let a service send once
-    Given the table lets "contracts" send once while the log is away
-    When the log is away for all three daemons
+  Scenario: The table may let a service send once while the log is unavailable
+    Given the table lets "contracts" send once while the log is unavailable
+    When the log is unavailable for all three daemons
     And "a" gets a request with key "k1" that is "perhaps resent"
     Then the request at "a" is decided as "run"
     When the claimed run at "a" ends as "run"
-    And the log is back for all three daemons
-    And the appends of "a" are made and read everywhere
+    And the log is available again for all three daemons
+    And the appends of "a" are completed and read by all daemons
     And "b" claims the key "k1"
-    Then the request at "b" is decided as "pass on" to "a"
+    Then the request at "b" is decided as "relay" to "a"
 
-  Scenario: A restarted daemon does not take an old claim for its own
+  Scenario: A restarted daemon does not mistake a claim of its previous run for a new one
     When "a" claims the key "k1"
     And the claimed run at "a" ends as "may-have-run"
     And daemon "a" restarts before it has read the log
@@ -183,54 +183,54 @@
     When "b" claims the key "k1"
     And the log holds a release of a claim of "a" on "k1" with the same number
     And "c" claims the key "k1"
-    Then the request at "c" is decided as "pass on" to "b"
+    Then the request at "c" is decided as "relay" to "b"
 
   Scenario: A resend at the same daemon waits for the claim, another request doesn't
     When "a" claims the key "k1" and its append applies without acknowledgment
     Then the key "k1" at "a" is decided as "wait"
     And the key "k1" with another body at "a" is decided as "refuse" with "not-run"
 
-  Scenario: A claim that the log refuses ends its request at once
+  Scenario: If the log refuses a claim, its request ends at once
     When "a" gets a request with key "k1" that is "a first sending"
     And the append of "a" is refused by the log
     Then the request at "a" is decided as "refuse" with "not-run"
     And nothing is appended again by "a"
 
-  Scenario: A new request takes over from a given-up claim that holds the key
+  Scenario: A new request takes over a cancelled claim that holds the key
     When "a" claims the key "k1" and its append is lost without acknowledgment
-    And the request at "a" is given up
+    And the request at "a" is cancelled
     And the lost append of "a" applies late
     And "a" gets a request with key "k1" that is "perhaps resent"
-    And the appends of "a" are made and read everywhere
-    And the appends of "a" are made and read everywhere
+    And the appends of "a" are completed and read by all daemons
+    And the appends of "a" are completed and read by all daemons
     Then the request at "a" is decided as "run"
 
-  Scenario: A claim given up before its append is never sent
+  Scenario: A claim cancelled before its append is never appended
     When "a" claims the key "k1" and its append is lost without acknowledgment
     And "a" gets a request with key "k2" that is "a first sending"
-    And the request at "a" is given up
+    And the request at "a" is cancelled
     And 600 ms pass
     Then the claim of "a" is appended once more
 
   Scenario: A key whose record has expired may be used again
     When "a" claims the key "k1"
     And the claimed run at "a" ends as "run"
-    And the log forgets the record before "b" reads it
+    And the record expires from the log before "b" reads it
     And "b" claims the key "k1"
     Then the request at "b" is decided as "run"
 
-  Scenario: Keys left out for lack of room decide nothing
+  Scenario: A key that was not stored for lack of space is not run
     When 20000 other keys have been claimed in the log
-    And "b" gets a request with key "k1" although it has no room
+    And "b" gets a request with key "k1" although its key store is full
     And the retention of the log has nearly passed
     Then the request at "b" is decided as "refuse" with "may-have-run"
 
-  Scenario: A gap in the log decides nothing in favour of running
+  Scenario: A gap in the log never leads to a run
     When "a" claims the key "k1" and its append applies without acknowledgment
-    And the log forgets the record before "a" reads it
+    And the record expires from the log before "a" reads it
     Then the request at "a" is decided as "refuse" with "may-have-run"
 
-  Scenario: Too many keys are refused rather than forgotten
+  Scenario: When too many keys are held, new ones are refused and old ones kept
     When 20000 other keys have been claimed in the log
     And 1 other key is claimed in the log
     And "a" gets a request with key "k1" that is "a first sending"
@@ -243,12 +243,12 @@
     When 300 keys are claimed at "a" while its first append is under way
     Then the appends of "a" are 3 in all
 
-  Scenario: A caller that goes away leaves no claim and no run behind
-    When a caller goes away while its key is claimed
+  Scenario: A caller that disconnects leaves neither a claim nor a run
+    When a caller disconnects while its key is claimed
     Then the claim is released after it has been read
 
-  Scenario: A caller that goes away in the same step as the decision leaves no run
-    When a caller goes away in the step in which its claim is won
+  Scenario: A caller that disconnects at the moment of the decision leaves no run
+    When a caller disconnects at the moment its claim is acquired
     Then the claim is released after it has been read
 
   Scenario Outline: A ticket used for another request at the entry is refused
@@ -261,6 +261,6 @@
       | body    |
       | account |
 
-  Scenario: A pause between the decision and the run does not run the request late
-    When a keyed request wins its claim at an entry that pauses past the deadline
+  Scenario: After a pause past the deadline between decision and run, the request is not run
+    When a keyed request acquires its claim at an entry that pauses past the deadline
     Then no attempt is made and the key is released
