--- a/features/call_ratios.feature
+++ b/features/call_ratios.feature
@@ -1,7 +1,7 @@
 Feature: A gate learns which routes make calls
 
-  Scenario: Calls are laid to the route that makes them, also with others beside it
-    Given a gate whose server makes 1.4 calls for each lookup and none for a signing
+  Scenario: Calls are attributed to the route that makes them, also while other routes run
+    Given a gate whose backend server makes 1.4 calls for each lookup and none for a signing
     When 400 lookups and signings run, several at once
-    Then a lookup is known to make 1.2 to 1.6 calls
-    And a signing is known to make 0 to 0.15 calls
+    Then a lookup is estimated to make 1.2 to 1.6 calls
+    And a signing is estimated to make 0 to 0.15 calls
--- a/features/daemon.feature
+++ b/features/daemon.feature
@@ -1,26 +1,26 @@
-Feature: A daemon carries requests and survives its surroundings
-  Scenario: An error of one controller keeps nothing from the others
+Feature: A daemon relays requests and tolerates failures around it
+  Scenario: An exception in one controller does not keep events from the others
     Given a runtime whose first controller fails on every event
     When a tick is dispatched
-    Then the second controller has seen the tick
+    Then the second controller has received the tick
 
-  Scenario: A stream is followed through an outage without losing or repeating records
-    Given a log service with 5 records that is away
+  Scenario: After an outage of the log service no record is lost or repeated
+    Given an unavailable log service with 5 records
     When a follower reads the stream 2 times
-    And the log service comes back and the follower reads the stream 3 times
+    And the log service recovers and the follower reads the stream 3 times
     Then the follower has dispatched the records "0, 1, 2, 3, 4" and no gap
-    And it has told the end of the stream with next offset 5
-    And it has reported the log service as "away, away, reachable, reachable, reachable"
+    And it has reported the end of the stream with next offset 5
+    And it has reported the log service as "unavailable, unavailable, reachable, reachable, reachable"
 
-  Scenario: Records that expired before they were read are a gap, not silence
+  Scenario: Records that expired before they were read are reported as a gap
     Given a log service with 5 records of which the follower has read 2
     When the first 4 records expire and the follower reads the stream 3 times
     Then the follower has dispatched the records "0, 1, 4" and a gap up to 4
 
-  Scenario Outline: An append ends in what is known of it
+  Scenario Outline: The result of an append says what is known about it
     Given a runtime with a log service that <fault>
     When a controller appends a record
-    Then the append is settled with offset "<offset>" and may have applied "<applied>"
+    Then the append finishes with offset "<offset>" and may have applied "<applied>"
 
     Examples:
       | fault                      | offset | applied |
@@ -28,28 +28,28 @@
       | is away                    | None   | False   |
       | loses every acknowledgment | None   | True    |
 
-  Scenario: A message that can't be read is dropped
+  Scenario: A message that can't be decoded is dropped
     Given a runtime whose first controller fails on every event
     When a peer message with an unknown body arrives
-    Then the second controller has seen nothing
+    Then the second controller has received nothing
 
-  Scenario: A daemon without a table refuses requests as not run
-    Given two daemons and a backend server beside the second, with the log away
+  Scenario: A daemon without a table refuses requests as not-run
+    Given two daemons and a backend server beside the second, and an unavailable log
     When a caller sends a lookup through the first daemon
-    Then the caller is told "not-ready" with verdict "not-run" and when to come back
+    Then the caller gets "not-ready" with verdict "not-run" and a Retry-After header
 
-  Scenario: A request crosses two daemons and a planned change cuts nothing
+  Scenario: A request passes two daemons, and a planned shutdown interrupts nothing
     Given two daemons and a backend server beside the second, with a table
     When a caller sends a lookup through the first daemon
-    Then the caller has the whole answer to its own request
+    Then the caller has the complete answer to its own request
     When the second daemon is told to exit while an upload through the first is halfway
     And the rest of the upload is sent
-    Then the upload is answered whole and the second daemon exits with nothing cut
+    Then the upload is answered completely and the second daemon exits cleanly
     And the first daemon sends no new request to the target that left
 
   Scenario: A daemon that exits waits for the tickets that it has just issued
     Given two daemons and a backend server beside the second, with a table
     And the first daemon has issued a ticket and is told to exit
     When the ticket is used at the second daemon
-    Then the caller has the whole answer to its own request
-    And the first daemon exits with nothing cut
+    Then the caller has the complete answer to its own request
+    And the first daemon exits cleanly
--- a/features/steps/call_ratios_steps.py
+++ b/features/steps/call_ratios_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the calls that backend servers make."""
+"""Steps for the estimate of the calls that backend servers make per request."""
 
 import random
 
@@ -13,9 +13,10 @@
 
 
 @given(
-    "a gate whose server makes {ratio:g} calls for each lookup and none for a signing"
+    "a gate whose backend server makes {ratio:g} calls for each lookup "
+    "and none for a signing"
 )
-def set_gate(context, ratio):
+def create_gate(context, ratio):
     context.ratio = ratio
     context.board = Blackboard(Member("d1", 1, "", "", "bole"))
     context.ratios = CallRatios(None, context.board, ManualClock(), None)
@@ -38,7 +39,7 @@
         context.ratios.handle(Tick())
 
 
-@then("a {route} is known to make {low:g} to {high:g} calls")
+@then("a {route} is estimated to make {low:g} to {high:g} calls")
 def check_ratio(context, route, low, high):
     name = "sign" if route == "signing" else route
     found = context.board.calls_per_run.get(name, {}).get("archive", 0.0)
--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -54,7 +54,7 @@
 
 
 class RecordingController:
-    """Keeps all events that it sees."""
+    """Records all events."""
 
     def __init__(self):
         self.events = []
@@ -64,7 +64,7 @@
         return []
 
 
-def make_runtime(log=None):
+def create_runtime(log=None):
     settings = DaemonSettings("a", "z", ADDRESS, ADDRESS, ADDRESS, ADDRESS)
     blackboard = Blackboard(Member("a", 1, ADDRESS, ADDRESS, "z"))
     outside = Outside(log=log, channel=None, probe=None)
@@ -75,8 +75,8 @@
 
 
 @given("a runtime whose first controller fails on every event")
-def given_failing_controller(context):
-    context.runtime, context.recorder = make_runtime()
+def create_failing_controller(context):
+    context.runtime, context.recorder = create_runtime()
 
 
 @when("a tick is dispatched")
@@ -85,18 +85,18 @@
 
 
 @when("a peer message with an unknown body arrives")
-def receive_unknown(context):
+def receive_undecodable(context):
     context.runtime.receive("b", StampedMessage(1, b"\x92\xa3foo\x80"))
     context.runtime.receive("b", "not stamped")
 
 
-@then("the second controller has seen the tick")
-def check_tick_seen(context):
+@then("the second controller has received the tick")
+def check_tick_received(context):
     assert context.recorder.events == [Tick()]
 
 
-@then("the second controller has seen nothing")
-def check_nothing_seen(context):
+@then("the second controller has received nothing")
+def check_nothing_received(context):
     assert context.recorder.events == []
     context.runtime.receive("b", StampedMessage(1, b"\x92"))
     assert not [e for e in context.recorder.events if type(e) is PeerMessageReceived]
@@ -113,15 +113,15 @@
     return log
 
 
-def make_follower(context, log):
-    context.seen = []
+def create_follower(context, log):
+    context.events = []
     context.reports = []
     context.follower = LogFollower(
-        LogSettings(), log, "s", context.seen.append, context.reports.append, None
+        LogSettings(), log, "s", context.events.append, context.reports.append, None
     )
 
 
-def read_often(context, times):
+def read_repeatedly(context, times):
     async def read():
         for _ in range(times):
             await context.follower.read_once()
@@ -129,18 +129,18 @@
     asyncio.run(read())
 
 
-@given("a log service with {count:d} records that is away")
-def given_log_away(context, count):
+@given("an unavailable log service with {count:d} records")
+def create_unavailable_log(context, count):
     context.log_service = fill_log(count)
     context.log_service.faults.away = True
-    make_follower(context, context.log_service)
+    create_follower(context, context.log_service)
 
 
 @given("a log service with 5 records of which the follower has read 2")
-def given_partly_read(context):
+def create_partly_read_log(context):
     context.log_service = fill_log(2)
-    make_follower(context, context.log_service)
-    read_often(context, 1)
+    create_follower(context, context.log_service)
+    read_repeatedly(context, 1)
 
     async def append_more():
         for number in range(2, 5):
@@ -151,56 +151,56 @@
 
 @when("a follower reads the stream {times:d} times")
 def read_stream(context, times):
-    read_often(context, times)
+    read_repeatedly(context, times)
 
 
-@when("the log service comes back and the follower reads the stream {times:d} times")
+@when("the log service recovers and the follower reads the stream {times:d} times")
 def read_after_outage(context, times):
     context.log_service.faults.away = False
-    read_often(context, times)
+    read_repeatedly(context, times)
 
 
 @when("the first 4 records expire and the follower reads the stream {times:d} times")
 def read_after_expiry(context, times):
     context.log_service.faults.retention_records = 1
-    read_often(context, times)
+    read_repeatedly(context, times)
 
 
 def list_offsets(context):
-    batches = [e for e in context.seen if isinstance(e, LogRecordsRead)]
+    batches = [e for e in context.events if isinstance(e, LogRecordsRead)]
     return ", ".join(str(r.offset) for batch in batches for r in batch.records)
 
 
 @then('the follower has dispatched the records "{offsets}" and no gap')
 def check_records(context, offsets):
     assert list_offsets(context) == offsets
-    assert not [e for e in context.seen if isinstance(e, LogGap)]
+    assert not [e for e in context.events if isinstance(e, LogGap)]
 
 
 @then('the follower has dispatched the records "{offsets}" and a gap up to {oldest:d}')
 def check_gap(context, offsets, oldest):
     assert list_offsets(context) == offsets
-    assert [e for e in context.seen if isinstance(e, LogGap)] == [LogGap("s", oldest)]
+    assert [e for e in context.events if isinstance(e, LogGap)] == [LogGap("s", oldest)]
 
 
-@then("it has told the end of the stream with next offset {offset:d}")
+@then("it has reported the end of the stream with next offset {offset:d}")
 def check_end(context, offset):
-    ends = {e.next_offset for e in context.seen if isinstance(e, LogCaughtUp)}
+    ends = {e.next_offset for e in context.events if isinstance(e, LogCaughtUp)}
     assert ends == {offset}
 
 
 @then('it has reported the log service as "{reports}"')
 def check_reports(context, reports):
-    names = ["reachable" if report else "away" for report in context.reports]
+    names = ["reachable" if report else "unavailable" for report in context.reports]
     assert ", ".join(names) == reports
 
 
 @given("a runtime with a log service that {fault}")
-def given_log_fault(context, fault):
+def create_faulty_log(context, fault):
     log = InMemoryLogService(ManualClock(), LogFaults())
     log.faults.away = fault == "is away"
     log.faults.lost_acknowledgments = 1 if "acknowledgment" in fault else 0
-    context.runtime, context.recorder = make_runtime(log)
+    context.runtime, context.recorder = create_runtime(log)
 
 
 @when("a controller appends a record")
@@ -209,32 +209,32 @@
     asyncio.run(context.runtime.append(effect))
 
 
-@then('the append is settled with offset "{offset}" and may have applied "{applied}"')
-def check_settled(context, offset, applied):
-    settled = [e for e in context.recorder.events if isinstance(e, LogAppendFinished)]
-    (event,) = settled
+@then('the append finishes with offset "{offset}" and may have applied "{applied}"')
+def check_append_result(context, offset, applied):
+    finished = [e for e in context.recorder.events if isinstance(e, LogAppendFinished)]
+    (event,) = finished
     assert event.append_id == "append-1"
     assert str(event.offset) == offset
     assert str(event.may_have_applied) == applied
 
 
-class PortHolder:
-    """Ports chosen by the system and kept from outgoing connections.
+class PortReservation:
+    """Ports chosen by the system and reserved, so that no outgoing connection gets one.
 
-    They stay bound but not listened on, so that servers, which allow the reuse of
-    addresses, can bind them as well.
+    They stay bound without listening; servers, which set ``SO_REUSEADDR``, can bind
+    them as well.
     """
 
     def __init__(self, count):
         self.sockets = [socket.socket() for _ in range(count)]
-        for holder in self.sockets:
-            holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            holder.bind(("127.0.0.1", 0))
+        for reserved in self.sockets:
+            reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            reserved.bind(("127.0.0.1", 0))
         self.addresses = [f"127.0.0.1:{s.getsockname()[1]}" for s in self.sockets]
 
     def release(self):
-        for holder in self.sockets:
-            holder.close()
+        for reserved in self.sockets:
+            reserved.close()
 
 
 async def wait_until(condition):
@@ -259,11 +259,11 @@
         self.log_settings = LogSettings(address=log_address, poll_ms=50)
         if self.has_table:
             await self.publish_table()
-        self.ports = PortHolder(8)
+        self.ports = PortReservation(8)
         ports = self.ports.addresses
         self.daemons = [
-            LogDaemon(self.make_settings("one", ports[:4], ports[6]), self.clock),
-            LogDaemon(self.make_settings("two", ports[4:], ports[2]), self.clock),
+            LogDaemon(self.build_settings("one", ports[:4], ports[6]), self.clock),
+            LogDaemon(self.build_settings("two", ports[4:], ports[2]), self.clock),
         ]
         for daemon in self.daemons:
             await daemon.start()
@@ -274,9 +274,9 @@
         self.client = HttpClient(RequestSettings(), self.clock)
         self.entry = ports[0]
         if self.has_table:
-            await self.join()
+            await self.wait_for_targets()
 
-    async def join(self):
+    async def wait_for_targets(self):
         first = self.daemons[0].blackboard
         await wait_until(lambda: first.table_known and len(first.members) == 2)
         first.requested_services.add(SERVICE)
@@ -290,7 +290,7 @@
         changes = plan_row_change(fold, "service", SERVICE, cells, False)
         await client.propose(client.make_edit(0, changes, Proposal("test", "start")))
 
-    def make_settings(self, name, ports, seed_address):
+    def build_settings(self, name, ports, seed_address):
         return DaemonSettings(
             *(name, "bole", ports[0], ports[1], ports[2], ports[3]),
             log_level="WARNING",
@@ -299,7 +299,7 @@
             membership=MembershipSettings(seeds=(seed_address,)),
         )
 
-    def make_request(self, method, body, length, ticket=None):
+    def build_request(self, method, body, length, ticket=None):
         headers = (
             ("host", self.entry),
             ("wagtailstep-service", SERVICE),
@@ -334,21 +334,21 @@
 
 
 @given("two daemons and a backend server beside the second, with a table")
-def given_fleet_with_table(context):
+def start_fleet_with_table(context):
     start_fleet(context, has_table=True)
 
 
-@given("two daemons and a backend server beside the second, with the log away")
-def given_fleet_without_log(context):
+@given("two daemons and a backend server beside the second, and an unavailable log")
+def start_fleet_without_log(context):
     start_fleet(context, has_table=False)
 
 
 def start_fleet(context, has_table):
-    context.runner_loop = asyncio.Runner()
-    context.add_cleanup(context.runner_loop.close)
+    context.runner = asyncio.Runner()
+    context.add_cleanup(context.runner.close)
     context.fleet = SmallFleet(has_table)
-    context.runner_loop.run(context.fleet.start())
-    context.add_cleanup(lambda: context.runner_loop.run(context.fleet.stop()))
+    context.runner.run(context.fleet.start())
+    context.add_cleanup(lambda: context.runner.run(context.fleet.stop()))
 
 
 @when("a caller sends a lookup through the first daemon")
@@ -356,15 +356,15 @@
     context.sent_key = "key-GET"
 
     async def look_up():
-        request = context.fleet.make_request("GET", yield_nothing(), 0)
+        request = context.fleet.build_request("GET", yield_nothing(), 0)
         context.answer = await context.fleet.client.send(request)
         context.body = await read_all(context.answer)
 
-    context.runner_loop.run(look_up())
+    context.runner.run(look_up())
 
 
 @then(
-    'the caller is told "{reason}" with verdict "{verdict}" and when to come back',
+    'the caller gets "{reason}" with verdict "{verdict}" and a Retry-After header',
 )
 def check_refusal(context, reason, verdict):
     headers = context.answer.headers
@@ -374,7 +374,7 @@
     assert find_header(headers, "retry-after") == "1"
 
 
-@then("the caller has the whole answer to its own request")
+@then("the caller has the complete answer to its own request")
 def check_own_answer(context):
     key = find_header(context.answer.headers, "fake-key")
     assert (context.answer.status, context.body) == (200, f"{key}\n".encode())
@@ -384,17 +384,17 @@
 
 
 @when("the second daemon is told to exit while an upload through the first is halfway")
-def exit_within_upload(context):
+def exit_during_upload(context):
     fleet = context.fleet
-    context.rest = asyncio.Event()
+    context.second_half_allowed = asyncio.Event()
 
     async def yield_upload():
         yield UPLOAD[: len(UPLOAD) // 2]
-        await context.rest.wait()
+        await context.second_half_allowed.wait()
         yield UPLOAD[len(UPLOAD) // 2 :]
 
-    async def begin():
-        request = fleet.make_request("PUT", yield_upload(), len(UPLOAD))
+    async def start():
+        request = fleet.build_request("PUT", yield_upload(), len(UPLOAD))
         context.upload = asyncio.create_task(fleet.client.send(request))
         await wait_until(lambda: fleet.server.inside == 1)
         second = fleet.daemons[1]
@@ -404,24 +404,24 @@
             lambda: all(t.state.value == "leaving" for t in first.targets.values())
         )
 
-    context.runner_loop.run(begin())
+    context.runner.run(start())
 
 
 @when("the rest of the upload is sent")
 def send_rest(context):
     assert not context.exit.done()
-    context.rest.set()
+    context.second_half_allowed.set()
 
 
-@then("the upload is answered whole and the second daemon exits with nothing cut")
+@then("the upload is answered completely and the second daemon exits cleanly")
 def check_upload(context):
     async def finish():
         answer = await context.upload
         body = await read_all(answer)
         return answer, body, await context.exit
 
-    answer, body, whole = context.runner_loop.run(finish())
-    assert (answer.status, body, whole) == (200, b"key-PUT\n", True)
+    answer, body, clean_exit = context.runner.run(finish())
+    assert (answer.status, body, clean_exit) == (200, b"key-PUT\n", True)
     assert find_header(answer.headers, "fake-body-bytes") == str(len(UPLOAD))
 
 
@@ -435,15 +435,16 @@
 
 @given("the first daemon has issued a ticket and is told to exit")
 def exit_with_open_ticket(context):
-    async def begin():
+    async def start():
         first, second = context.fleet.daemons
         context.ticket = await first.entry.issue_ticket(SERVICE)
         context.exit = asyncio.create_task(first.shut_down())
-        # The server of the caller's port is closed after the news has gone out.
+        # The server of the caller's port closes after the daemon has announced that
+        # it is leaving.
         await wait_until(lambda: not first.caller_server.server.is_serving())
         assert second.blackboard.table_known
 
-    context.runner_loop.run(begin())
+    context.runner.run(start())
 
 
 @when("the ticket is used at the second daemon")
@@ -452,16 +453,18 @@
 
     async def sign():
         context.fleet.entry = context.fleet.daemons[1].settings.caller_address
-        request = context.fleet.make_request("POST", yield_nothing(), 0, context.ticket)
+        request = context.fleet.build_request(
+            "POST", yield_nothing(), 0, context.ticket
+        )
         context.answer = await context.fleet.client.send(request)
         context.body = await read_all(context.answer)
 
-    context.runner_loop.run(sign())
+    context.runner.run(sign())
 
 
-@then("the first daemon exits with nothing cut")
+@then("the first daemon exits cleanly")
 def check_exit(context):
     async def finish():
         return await context.exit
 
-    assert context.runner_loop.run(finish()) is True
+    assert context.runner.run(finish()) is True
