--- a/features/steps/ejection_steps.py
+++ b/features/steps/ejection_steps.py
@@ -1,4 +1,4 @@
-"""Steps for ejections for the whole fleet."""
+"""Steps for ejections that hold for the whole fleet."""
 
 from datetime import timedelta
 
@@ -13,25 +13,32 @@
 from wagtailstep.models.evidence import EjectionCandidate, Symptom
 from wagtailstep.models.table import ServiceRow, Table
 
-JUDGING = ["accuse", "accuse", "acquit"]
-TROUBLE = {
+JUDGEMENTS = ["add_candidates", "add_candidates", "clear_candidates"]
+TROUBLES = {
     "concurrent ejections": [],
-    "one-way partitions": ["blind", "mute"],
-    "paused daemons and late appends": ["pause"],
-    "floor edits": ["raise_floor"],
-    "departures": ["depart"],
-    "log outages": ["lose_log"],
-    "everything at once": "blind mute pause raise_floor depart lose_log".split(),
+    "one-way partitions": ["block_reads", "block_appends"],
+    "paused daemons and late appends": ["pause_daemon"],
+    "floor edits": ["change_floor"],
+    "departures": ["change_targets"],
+    "log outages": ["make_log_unavailable"],
+    "everything at once": [
+        "block_reads",
+        "block_appends",
+        "pause_daemon",
+        "change_floor",
+        "change_targets",
+        "make_log_unavailable",
+    ],
 }
 
 
-@given("{count:d} fleets under {trouble}")
-def make_fleets(context, count, trouble):
-    context.worlds = [EjectionHarness(seed) for seed in range(count)]
-    context.troubles = TROUBLE[trouble]
+@given("{count:d} fleets with {trouble}")
+def create_fleets(context, count, trouble):
+    context.harnesses = [EjectionHarness(seed) for seed in range(count)]
+    context.troubles = TROUBLES[trouble]
 
 
-def leaves_floor_unsettled(fold, claim):
+def keeps_floor_without_unsettled(fold, claim):
     counted = {*fold.ejections, *claim.out, claim.target_id}
     return sum_in_service(claim.weights, counted) >= claim.floor
 
@@ -41,7 +48,7 @@
     "forget who may still hold a target out": (
         EjectionFold,
         "keeps_floor",
-        leaves_floor_unsettled,
+        keeps_floor_without_unsettled,
     ),
     "apply what they can no longer confirm": (
         EjectionController,
@@ -70,154 +77,156 @@
 
 @when("they run for {seconds:d} s")
 def run_fleets(context, seconds):
-    for world in context.worlds:
-        world.run(seconds, JUDGING, context.troubles)
+    for harness in context.harnesses:
+        harness.run(seconds, JUDGEMENTS, context.troubles)
 
 
-@then("targets were out now and then")
-def check_ejections_seen(context):
-    assert all(world.ejections_seen for world in context.worlds)
+@then("some targets were ejected at times")
+def check_observed_ejections(context):
+    assert all(harness.observed_ejections for harness in context.harnesses)
 
 
-@then("the floor was never broken")
-def check_never_broken(context):
-    broken = [(n, w.faults[:3]) for n, w in enumerate(context.worlds) if w.faults]
-    assert not broken, broken
+@then("the floor was never violated")
+def check_no_violation(context):
+    violated = [
+        (n, h.violations[:3]) for n, h in enumerate(context.harnesses) if h.violations
+    ]
+    assert not violated, violated
 
 
-@then("the floor was broken for the {kind}")
-def check_broken(context, kind):
-    found = {kind for world in context.worlds for kind, _ in world.faults}
+@then("the floor was violated for the {kind}")
+def check_violation(context, kind):
+    found = {scope for harness in context.harnesses for scope, _ in harness.violations}
     assert kind in found, found
 
 
-def accuse(world, daemon, name):
-    now = world.clock.monotonic()
+def add_candidate(harness, daemon, name):
+    now = harness.clock.monotonic()
     candidate = EjectionCandidate(name, Symptom.FAILING, "r", 1.0, now)
     daemon.board.ejection_candidates[name] = candidate
 
 
-def eject(world, name):
-    accuse(world, world.daemons[0], name)
-    world.run(5)
-    world.daemons[0].board.ejection_candidates.clear()
-    assert all(name in d.board.ejected for d in world.daemons)
+def eject(harness, name):
+    add_candidate(harness, harness.daemons[0], name)
+    harness.run(5)
+    harness.daemons[0].board.ejection_candidates.clear()
+    assert all(name in d.board.ejected for d in harness.daemons)
 
 
 @given("a fleet in which one daemon ejected a target")
 def eject_one(context):
-    context.world = EjectionHarness(3, floor=1.0)
-    context.name = sorted(context.world.targets)[0]
-    eject(context.world, context.name)
+    context.harness = EjectionHarness(3, floor=1.0)
+    context.name = sorted(context.harness.targets)[0]
+    eject(context.harness, context.name)
 
 
 @given("a fleet in which one daemon ejected two targets in turn")
 def eject_two(context):
-    context.world = EjectionHarness(3, floor=1.0)
-    names = sorted(context.world.targets, key=context.world.table.weight)
+    context.harness = EjectionHarness(3, floor=1.0)
+    names = sorted(context.harness.targets, key=context.harness.table.weight)
     context.names = [names[-1], names[-2]]
     for name in context.names:
-        eject(context.world, name)
+        eject(context.harness, name)
 
 
-@when("that daemon vanishes for good")
-def vanish(context):
-    context.world.daemons[0].dead = True
+@when("that daemon stops for good")
+def stop_claimant(context):
+    context.harness.daemons[0].stopped = True
 
 
 @when("all probes of that daemon fail from then on")
 def fail_probes(context):
-    context.world.rng.random = lambda: 0.99
+    context.harness.rng.random = lambda: 0.99
 
 
 @when("the floor is raised so that one of them is needed")
-def need_one(context):
-    world = context.world
-    total = sum(world.weights(world.targets).values())
-    floor = total - world.table.weight(context.names[1])
+def raise_floor(context):
+    harness = context.harness
+    total = sum(harness.get_weights(harness.targets).values())
+    floor = total - harness.table.weight(context.names[1])
     row = ServiceRow(SERVICE, floor_weight=floor)
-    world.table = Table(2, {SERVICE: row}, world.table.backend_servers)
-    for daemon in world.daemons:
-        world.learn(daemon)
-    world.run(0.5)
+    harness.table = Table(2, {SERVICE: row}, harness.table.backend_servers)
+    for daemon in harness.daemons:
+        harness.update_view(daemon)
+    harness.run(0.5)
 
 
-@then("only the one that was ejected last stays out")
-def check_last_out(context):
-    for daemon in context.world.daemons:
+@then("only the one that was ejected last stays ejected")
+def check_last_ejected(context):
+    for daemon in context.harness.daemons:
         assert daemon.board.ejected == {context.names[1]}
 
 
-@when("the log is away for {seconds:d} s")
-def take_log_away(context, seconds):
-    context.world.log_away_until = context.world.now + seconds + 1
-    context.world.run(seconds)
+@when("the log is unavailable for {seconds:d} s")
+def make_log_unavailable(context, seconds):
+    context.harness.log_unavailable_until = context.harness.now + seconds + 1
+    context.harness.run(seconds)
 
 
 @when("the target restarts")
 def restart(context):
-    world = context.world
-    target = world.targets[context.name]
-    world.targets[context.name] = attrs.evolve(target, incarnation=1)
-    for daemon in world.daemons:
-        world.learn(daemon)
-    world.run(0.5)
+    harness = context.harness
+    target = harness.targets[context.name]
+    harness.targets[context.name] = attrs.evolve(target, incarnation=1)
+    for daemon in harness.daemons:
+        harness.update_view(daemon)
+    harness.run(0.5)
 
 
-def everywhere_in_service(world, name):
-    alive = [d for d in world.daemons if not d.dead]
-    return all(name not in d.board.ejected for d in alive)
+def is_in_service_everywhere(harness, name):
+    running = [d for d in harness.daemons if not d.stopped]
+    return all(name not in d.board.ejected for d in running)
 
 
 @then("the target is in service everywhere within {seconds:d} s")
-def check_back_within(context, seconds):
-    context.world.run(seconds)
-    assert everywhere_in_service(context.world, context.name)
+def check_in_service_within(context, seconds):
+    context.harness.run(seconds)
+    assert is_in_service_everywhere(context.harness, context.name)
 
 
 @then("the target is in service everywhere")
-def check_back(context):
-    assert everywhere_in_service(context.world, context.name)
+def check_in_service(context):
+    assert is_in_service_everywhere(context.harness, context.name)
 
 
-@then("the fold of a daemon that starts then has nobody out")
+@then("the fold of a daemon that starts then has no ejections")
 def check_fold(context):
-    fresh = context.world.make_daemon(7)
-    context.world.daemons.append(fresh)
-    context.world.run(1)
-    assert not fresh.controller.streams[STREAM].fold.ejections
+    new_daemon = context.harness.create_daemon(7)
+    context.harness.daemons.append(new_daemon)
+    context.harness.run(1)
+    assert not new_daemon.controller.streams[STREAM].fold.ejections
 
 
 @given("a stream whose last ejection was never renewed or ended")
-def make_old_stream(context):
-    context.world = EjectionHarness(3, floor=1.0)
-    eject(context.world, sorted(context.world.targets)[0])
-    for daemon in context.world.daemons:
-        daemon.dead = True
+def create_old_stream(context):
+    context.harness = EjectionHarness(3, floor=1.0)
+    eject(context.harness, sorted(context.harness.targets)[0])
+    for daemon in context.harness.daemons:
+        daemon.stopped = True
 
 
 @when("a daemon reads it from the beginning")
 def read_from_beginning(context):
-    context.fresh: Daemon = context.world.make_daemon(7)
-    context.world.daemons.append(context.fresh)
-    context.world.clock.advance(timedelta(days=1))
-    context.world.run(1)
+    context.new_daemon: Daemon = context.harness.create_daemon(7)
+    context.harness.daemons.append(context.new_daemon)
+    context.harness.clock.advance(timedelta(days=1))
+    context.harness.run(1)
 
 
-@then("nobody is out in its view")
-def check_nobody_out(context):
-    assert context.fresh.controller.streams[STREAM].fold.ejections
-    assert not context.fresh.board.ejected
+@then("no target is ejected in its view")
+def check_no_ejections(context):
+    assert context.new_daemon.controller.streams[STREAM].fold.ejections
+    assert not context.new_daemon.board.ejected
 
 
-@when("the fleet goes on for {seconds:d} s")
-def go_on(context, seconds):
-    context.world.run(seconds)
+@when("the fleet continues for {seconds:d} s")
+def continue_fleet(context, seconds):
+    context.harness.run(seconds)
 
 
-@then("no daemon remembers more reads than settling needs")
-def check_history(context):
-    most = SETTLE_MS / 1_000 / STEP_S + 2
-    for daemon in context.world.daemons:
+@then("no daemon keeps more read positions than settling needs")
+def check_read_positions(context):
+    expected = SETTLE_MS / 1_000 / STEP_S + 2
+    for daemon in context.harness.daemons:
         read_positions = daemon.controller.streams[STREAM].read_positions
-        assert 0 < len(read_positions) <= 2 * most, len(read_positions)
+        assert 0 < len(read_positions) <= 2 * expected, len(read_positions)
