--- a/features/dissemination.feature
+++ b/features/dissemination.feature
@@ -1,28 +1,28 @@
-Feature: Targets travel to the daemons that serve or want their service
+Feature: Targets are sent to the daemons that serve or request their service
   Background:
-    Given a bus of 12 daemons that serve "contracts", all from seed 11
-    And 4 more daemons on the bus that serve "archive" and want nothing
+    Given a bus of 12 daemons that serve "contracts", with random seed 11
+    And 4 more daemons on the bus that serve "archive" and request no service
 
-  Scenario: Targets travel only where their service is of interest
+  Scenario: Targets are sent only to daemons that serve or request their service
     When 20 seconds pass on the bus
     Then daemon d00 uses 12 targets of "contracts"
     And daemon d00 uses 0 targets of "archive"
     And daemon d12 uses 0 targets of "contracts"
     And no target of "contracts" was ever sent to d12
 
-  Scenario: A daemon that wants a service for the first time pulls its targets
+  Scenario: A daemon that requests a service for the first time fetches its targets
     When 20 seconds pass on the bus
-    And daemon d12 begins to want "contracts"
+    And daemon d12 starts to request "contracts"
     And 2 seconds pass on the bus
     Then daemon d12 uses 12 targets of "contracts"
 
-  Scenario Outline: Leaving reaches everybody in time whichever way is cut
+  Scenario Outline: All daemons learn in time that a target leaves, whichever messages are dropped
     When 20 seconds pass on the bus
-    And messages from <senders> to <receivers> are cut
+    And messages from <senders> to <receivers> are dropped
     And 3 seconds pass on the bus
     And the backend server beside d03 leaves
     And 2 seconds pass on the bus
-    Then no daemon of the bus sends new work to the target beside d03
+    Then no daemon of the bus sends new requests to the target beside d03
 
     Examples:
       | senders         | receivers           |
@@ -33,51 +33,51 @@
       | everybody       | d03                 |
       | d04,d05,d06,d03 | d07,d08,d09,d10,d11 |
 
-  Scenario: A daemon that ends without a word lapses everywhere
+  Scenario: The targets of a daemon that stops without notice lapse at all daemons
     When 20 seconds pass on the bus
-    And daemon d03 ends without a word
+    And daemon d03 stops without notice
     And 2 seconds pass on the bus
-    Then no daemon of the bus sends new work to the target beside d03
+    Then no daemon of the bus sends new requests to the target beside d03
 
-  Scenario: A lost path to one daemon leaves its targets in use
+  Scenario: The targets of a daemon that can't reach three others stay in use
     When 20 seconds pass on the bus
-    And messages from d03 to d00,d01,d02 are cut
+    And messages from d03 to d00,d01,d02 are dropped
     And 20 seconds pass on the bus
     Then daemon d00 uses 12 targets of "contracts"
-    And no lease has lapsed at d00 since the cut
+    And no lease has lapsed at d00 since messages are dropped
 
-  Scenario: A delayed update does not bring back a target that left
+  Scenario: A delayed update does not restore a target that left
     When 20 seconds pass on the bus
-    And the update of d03 is kept back
+    And the last update of d03 is delayed
     And the backend server beside d03 leaves
     And 2 seconds pass on the bus
-    And the update that was kept back reaches d00
-    Then no daemon of the bus sends new work to the target beside d03
-    When daemon d03 ends without a word
+    And the delayed update reaches d00
+    Then no daemon of the bus sends new requests to the target beside d03
+    When daemon d03 stops without notice
     And 40 seconds pass on the bus
-    And the update that was kept back reaches d00
-    Then no daemon of the bus sends new work to the target beside d03
+    And the delayed update reaches d00
+    Then no daemon of the bus sends new requests to the target beside d03
 
   Scenario: Values out of range from a peer change nothing
     When 20 seconds pass on the bus
-    And daemon d00 hears ages and states that can't be
+    And daemon d00 receives ages and states out of range
     And 5 seconds pass on the bus
     Then daemon d00 uses 12 targets of "contracts"
     And every running daemon knows 16 alive daemons
 
-  Scenario: Losses, duplicates and delays lapse no healthy target
-    Given 5 percent of the messages on the bus get lost and 5 percent twice
+  Scenario: Lost, duplicated and delayed messages let no healthy target lapse
+    Given 5 percent of the messages on the bus are lost and 5 percent duplicated
     When 20 seconds pass on the bus
-    And 30 seconds pass on the bus after the start is over
-    Then no lease has lapsed anywhere since the start was over
+    And 30 seconds pass on the bus after the start-up phase
+    Then no lease has lapsed anywhere since the start-up phase
 
-  Scenario Outline: The checks above catch a planted fault
+  Scenario Outline: The checks above detect a planted fault
     Given the fault "<fault>" is planted in every daemon
     When 20 seconds pass on the bus
-    And messages from d03 to everybody are cut
+    And messages from d03 to everybody are dropped
     And the backend server beside d03 leaves
     And 2 seconds pass on the bus
-    Then a daemon of the bus still sends new work to the target beside d03
+    Then a daemon of the bus still sends new requests to the target beside d03
 
     Examples:
       | fault             |
--- a/features/drain.feature
+++ b/features/drain.feature
@@ -1,4 +1,4 @@
-Feature: Planned changes cut nothing
+Feature: Planned shutdowns interrupt no request
   Scenario: A backend server leaves
     Given a backend server behind its gate, and an entry
     When the backend server leaves under load with a long upload running
--- a/features/steps/control_bus_steps.py
+++ b/features/steps/control_bus_steps.py
@@ -1,4 +1,4 @@
-"""Steps that drive the control plane of several daemons on a bus."""
+"""Steps that run the control plane of several daemons on a simulated bus."""
 
 from datetime import timedelta
 from unittest import mock
@@ -28,35 +28,37 @@
 from wagtailstep.utils.codec import encode_message
 
 SEEDS = ("d00.test:7003", "d01.test:7003")
-# A short retention lets a scenario see dead daemons forgotten.
+# A short retention, so that dead daemons expire within a scenario.
 SETTINGS = MembershipSettings(seeds=SEEDS, dead_retention_s=120.0)
 
 
-@given('a bus of {count:d} daemons that serve "{service}", all from seed {seed:d}')
-def make_bus(context, count, service, seed):
+@given('a bus of {count:d} daemons that serve "{service}", with random seed {seed:d}')
+def create_bus(context, count, service, seed):
     context.bus = ControlBus(seed)
     context.membership = SETTINGS
     context.sent = []
-    carry = context.bus.send
+    deliver = context.bus.send
 
     def send(node, effect):
         context.sent.append((node.daemon_id, effect))
-        carry(node, effect)
+        deliver(node, effect)
 
     context.bus.send = send
     for index in range(count):
         context.bus.add(f"d{index:02d}", context.membership, [service])
 
 
-@given("a bus of {count:d} daemons that know only a seed that is gone")
-def make_lost_bus(context, count):
+@given("a bus of {count:d} daemons whose only seed does not answer")
+def create_bus_without_seed(context, count):
     context.bus = ControlBus(3)
     settings = attrs.evolve(SETTINGS, seeds=("gone.test:7003",))
     for index in range(count):
         context.bus.add(f"d{index:03d}", settings)
 
 
-@given('{count:d} more daemons on the bus that serve "{service}" and want nothing')
+@given(
+    '{count:d} more daemons on the bus that serve "{service}" and request no service'
+)
 def add_daemons(context, count, service):
     first = len(context.bus.nodes)
     for index in range(first, first + count):
@@ -64,9 +66,10 @@
 
 
 @given(
-    "{loss:d} percent of the messages on the bus get lost and {doubled:d} percent twice"
+    "{loss:d} percent of the messages on the bus are lost "
+    "and {doubled:d} percent duplicated"
 )
-def set_loss(context, loss, doubled):
+def configure_message_faults(context, loss, doubled):
     context.bus.rules.loss = loss / 100
     context.bus.rules.duplication = doubled / 100
     context.bus.rules.delay_ms = (0.5, 80.0)
@@ -74,10 +77,10 @@
 
 def count_ages_from_arrival(self, daemon_id, heartbeat, made_at, version):
     self.last_heartbeats.pop(daemon_id, None)
-    return RENEW(self, daemon_id, heartbeat, made_at, version)
+    return original_renew(self, daemon_id, heartbeat, made_at, version)
 
 
-RENEW = TargetLeases.renew
+original_renew = TargetLeases.renew
 FAULTS = {
     "leases never end": [(TargetLeases, "lapse", lambda self, now: [])],
     "ages are not kept": [
@@ -103,49 +106,51 @@
 
 
 @when("{seconds:d} seconds pass on the bus")
-def pass_time(context, seconds):
+def advance_clock(context, seconds):
     context.bus.run(timedelta(seconds=seconds))
 
 
-@when("{seconds:d} seconds pass on the bus after the start is over")
-def pass_time_after_start(context, seconds):
-    context.lapses_before = count_lapses(context.bus.nodes.values())
+@when("{seconds:d} seconds pass on the bus after the start-up phase")
+def advance_clock_after_start(context, seconds):
+    context.earlier_lapses = count_lapses(context.bus.nodes.values())
     context.bus.run(timedelta(seconds=seconds))
 
 
-def names(context, text):
+def parse_daemon_ids(context, text):
     if text == "nobody":
         return []
     return list(context.bus.nodes) if text == "everybody" else text.split(",")
 
 
-@when("messages from {senders} to {receivers} are cut")
-def cut_links(context, senders, receivers):
-    context.bus.rules.cut(names(context, senders), names(context, receivers))
-    context.lapses_before = count_lapses(context.bus.nodes.values())
+@when("messages from {senders} to {receivers} are dropped")
+def drop_messages(context, senders, receivers):
+    context.bus.rules.cut(
+        parse_daemon_ids(context, senders), parse_daemon_ids(context, receivers)
+    )
+    context.earlier_lapses = count_lapses(context.bus.nodes.values())
 
 
-@when("all cuts are mended")
-def mend(context):
+@when("all messages are delivered again")
+def restore_links(context):
     context.bus.rules.cuts.clear()
 
 
-@when("the bus is parted between {last} and {first}")
-def part(context, last, first):
+@when("the bus is partitioned between {last} and {first}")
+def partition_bus(context, last, first):
     everybody = sorted(context.bus.nodes)
-    left = everybody[: everybody.index(first)]
-    right = everybody[everybody.index(first) :]
-    assert left[-1] == last
-    context.bus.rules.cut(left, right)
-    context.bus.rules.cut(right, left)
+    lower = everybody[: everybody.index(first)]
+    upper = everybody[everybody.index(first) :]
+    assert lower[-1] == last
+    context.bus.rules.cut(lower, upper)
+    context.bus.rules.cut(upper, lower)
 
 
-@when("daemon {daemon_id} ends without a word")
-def end_daemon(context, daemon_id):
+@when("daemon {daemon_id} stops without notice")
+def stop_daemon(context, daemon_id):
     context.bus.stop(daemon_id)
 
 
-@when("daemon {daemon_id} starts on the bus knowing only {seed}")
+@when("daemon {daemon_id} starts on the bus with the only seed {seed}")
 def start_daemon(context, daemon_id, seed):
     settings = attrs.evolve(context.membership, seeds=(f"{seed}.test:7003",))
     context.bus.add(daemon_id, settings, ["contracts"])
@@ -158,49 +163,49 @@
     context.bus.add(daemon_id, settings, ["contracts"], clock_skew=skew)
 
 
-@when("the log of the bus goes away")
-def lose_log(context):
+@when("the log of the bus becomes unavailable")
+def make_log_unavailable(context):
     context.bus.log_away = True
 
 
-@when("daemon {daemon_id} hears that {other} is suspect")
-def hear_suspicion(context, daemon_id, other):
+@when("daemon {daemon_id} receives a message that {other} is suspect")
+def receive_suspicion(context, daemon_id, other):
     node = context.bus.nodes[daemon_id]
     member = node.blackboard.members[other]
     context.incarnation = member.incarnation
     suspect = attrs.evolve(member, state=MemberState.SUSPECT)
     updates = MemberUpdates(changes=(MemberChange.from_member(suspect),))
-    hear(context, daemon_id, Ping(1, SEEDS[0], updates))
+    receive(context, daemon_id, Ping(1, SEEDS[0], updates))
 
 
-@when("daemon {daemon_id} hears the old entry of {other}")
-def hear_old_entry(context, daemon_id, other):
+@when("daemon {daemon_id} receives the old entry of {other}")
+def receive_old_entry(context, daemon_id, other):
     old = context.bus.nodes[other].blackboard.this_member
     updates = MemberUpdates(entries=(MemberEntry.from_member(old),))
-    hear(context, daemon_id, Ping(1, SEEDS[0], updates))
+    receive(context, daemon_id, Ping(1, SEEDS[0], updates))
 
 
-def hear(context, daemon_id, message):
+def receive(context, daemon_id, message):
     event = PeerMessageReceived("d01", message)
     context.bus.dispatch(context.bus.nodes[daemon_id], event)
 
 
-@when('daemon {daemon_id} begins to want "{service}"')
-def want_service(context, daemon_id, service):
+@when('daemon {daemon_id} starts to request "{service}"')
+def request_service(context, daemon_id, service):
     context.bus.nodes[daemon_id].blackboard.requested_services.add(service)
 
 
 @when("the backend server beside {daemon_id} leaves")
-def leave(context, daemon_id):
+def withdraw_targets(context, daemon_id):
     node = context.bus.nodes[daemon_id]
     for target_id in list(node.announced):
         del node.announced[target_id]
         context.bus.dispatch(node, TargetWithdrawn(target_id))
 
 
-@when("the update of {daemon_id} is kept back")
-def keep_update(context, daemon_id):
-    context.kept = next(
+@when("the last update of {daemon_id} is delayed")
+def delay_update(context, daemon_id):
+    context.delayed_update = next(
         effect.message
         for _, effect in reversed(context.sent)
         if isinstance(effect.message, TargetsUpdate)
@@ -208,30 +213,30 @@
     )
 
 
-@when("the update that was kept back reaches {daemon_id}")
-def deliver_update(context, daemon_id):
-    hear(context, daemon_id, context.kept)
+@when("the delayed update reaches {daemon_id}")
+def deliver_delayed_update(context, daemon_id):
+    receive(context, daemon_id, context.delayed_update)
 
 
-@when("daemon {daemon_id} hears ages and states that can't be")
-def hear_nonsense(context, daemon_id):
+@when("daemon {daemon_id} receives ages and states out of range")
+def receive_out_of_range_values(context, daemon_id):
     reference = member_reference("d03")
-    far = 2**62
+    out_of_range = 2**62
     target = TargetEntry("contracts/d03.test:9", 4, 99, 1)
-    change = MemberChange("d03", far, 99)
+    change = MemberChange("d03", out_of_range, 99)
     entry = MemberEntry("d99", 1, 99, "d99.test:7003", "d99.test:7002", "bole")
     for message in (
-        Digest(0, (reference, far, far, 1)),
-        Digest(0, (reference, far, -far, 1, 7)),
-        Digest(far, (reference,)),
-        TargetsUpdate("d03", "bole", far, far, 1, ("contracts",), ()),
-        TargetsUpdate("d03", "bole", far, 0, 1, ("contracts",), (target,)),
+        Digest(0, (reference, out_of_range, out_of_range, 1)),
+        Digest(0, (reference, out_of_range, -out_of_range, 1, 7)),
+        Digest(out_of_range, (reference,)),
+        TargetsUpdate("d03", "bole", out_of_range, out_of_range, 1, ("contracts",), ()),
+        TargetsUpdate("d03", "bole", out_of_range, 0, 1, ("contracts",), (target,)),
         Ping(1, SEEDS[0], MemberUpdates((entry,), (change,))),
     ):
-        hear(context, daemon_id, message)
+        receive(context, daemon_id, message)
 
 
-def running(context):
+def get_running_nodes(context):
     return [node for node in context.bus.nodes.values() if node.running]
 
 
@@ -242,7 +247,7 @@
 
 @then("every running daemon knows {count:d} alive daemons")
 def check_alive(context, count):
-    found = {node.daemon_id: count_alive(node) for node in running(context)}
+    found = {node.daemon_id: count_alive(node) for node in get_running_nodes(context)}
     assert set(found.values()) == {count}, found
 
 
@@ -251,7 +256,7 @@
     assert count_alive(context.bus.nodes[daemon_id]) == count
 
 
-def deaths(nodes):
+def list_deaths(nodes):
     return [
         (node.daemon_id, event.fields["member"])
         for node in nodes
@@ -260,37 +265,37 @@
     ]
 
 
-@then("no daemon was ever found dead")
+@then("no daemon was ever declared dead")
 def check_no_death(context):
-    found = deaths(context.bus.nodes.values())
+    found = list_deaths(context.bus.nodes.values())
     assert not found, found
 
 
-@then("a healthy daemon was found dead")
+@then("a healthy daemon was declared dead")
 def check_death(context):
-    assert deaths(context.bus.nodes.values())
+    assert list_deaths(context.bus.nodes.values())
 
 
-@then("a running daemon remembers {daemon_id}")
-def check_remembered(context, daemon_id):
-    nodes = running(context)
+@then("a running daemon has an entry of {daemon_id}")
+def check_entry_exists(context, daemon_id):
+    nodes = get_running_nodes(context)
     assert any(daemon_id in node.blackboard.members for node in nodes)
 
 
-@then("daemon {daemon_id} has found nobody dead")
+@then("daemon {daemon_id} has declared no daemon dead")
 def check_no_death_at(context, daemon_id):
-    found = deaths([context.bus.nodes[daemon_id]])
+    found = list_deaths([context.bus.nodes[daemon_id]])
     assert not found, found
 
 
-@then('every running daemon holds {daemon_id} for "{state}"')
+@then('every running daemon considers {daemon_id} "{state}"')
 def check_state(context, daemon_id, state):
-    check_states(running(context), daemon_id, state)
+    check_states(get_running_nodes(context), daemon_id, state)
 
 
-@then('every daemon but {exception} holds {daemon_id} for "{state}"')
+@then('every daemon except {exception} considers {daemon_id} "{state}"')
 def check_state_elsewhere(context, exception, daemon_id, state):
-    nodes = [node for node in running(context) if node.daemon_id != exception]
+    nodes = [node for node in get_running_nodes(context) if node.daemon_id != exception]
     check_states(nodes, daemon_id, state)
 
 
@@ -303,16 +308,16 @@
 
 @then("the incarnation of {daemon_id} has risen")
 def check_incarnation(context, daemon_id):
-    for node in running(context):
+    for node in get_running_nodes(context):
         found = node.blackboard.members[daemon_id].incarnation
         assert found > context.incarnation, (node.daemon_id, found)
 
 
-@then("no running daemon remembers {daemon_id}")
-def check_forgotten(context, daemon_id):
+@then("no running daemon has an entry of {daemon_id}")
+def check_no_entry(context, daemon_id):
     found = [
         node.daemon_id
-        for node in running(context)
+        for node in get_running_nodes(context)
         if daemon_id in node.blackboard.members
     ]
     assert not found, found
@@ -353,24 +358,24 @@
     assert service not in services, services
 
 
-def users_of_target(context, daemon_id):
+def list_users_of_target(context, daemon_id):
     users = []
-    for node in running(context):
+    for node in get_running_nodes(context):
         target = node.blackboard.targets.get(f"contracts/{daemon_id}.test:8000")
         if target is not None and target.state is TargetState.SERVING:
             users.append(node.daemon_id)
     return users
 
 
-@then("no daemon of the bus sends new work to the target beside {daemon_id}")
+@then("no daemon of the bus sends new requests to the target beside {daemon_id}")
 def check_unused(context, daemon_id):
-    found = users_of_target(context, daemon_id)
+    found = list_users_of_target(context, daemon_id)
     assert not found, found
 
 
-@then("a daemon of the bus still sends new work to the target beside {daemon_id}")
+@then("a daemon of the bus still sends new requests to the target beside {daemon_id}")
 def check_still_used(context, daemon_id):
-    assert users_of_target(context, daemon_id)
+    assert list_users_of_target(context, daemon_id)
 
 
 def count_lapses(nodes):
@@ -380,13 +385,13 @@
     }
 
 
-@then("no lease has lapsed at {daemon_id} since the cut")
+@then("no lease has lapsed at {daemon_id} since messages are dropped")
 def check_lapses_at(context, daemon_id):
-    now = count_lapses(context.bus.nodes.values())
-    assert now[daemon_id] == context.lapses_before[daemon_id], now
+    lapses = count_lapses(context.bus.nodes.values())
+    assert lapses[daemon_id] == context.earlier_lapses[daemon_id], lapses
 
 
-@then("no lease has lapsed anywhere since the start was over")
+@then("no lease has lapsed anywhere since the start-up phase")
 def check_lapses(context):
-    now = count_lapses(context.bus.nodes.values())
-    assert now == context.lapses_before, now
+    lapses = count_lapses(context.bus.nodes.values())
+    assert lapses == context.earlier_lapses, lapses
