--- a/features/evidence.feature
+++ b/features/evidence.feature
@@ -1,7 +1,7 @@
 Feature: Backend servers are judged by the outcomes of real requests
-  Scenario Outline: Only what speaks against the backend server counts against it
+  Scenario Outline: Only failures blamed on the backend server make it an ejection candidate
     Given a daemon that knows 6 targets in 3 zones
-    When 60 requests to one target end with blame "<blame>" and the others well
+    When 60 requests to one target end with blame "<blame>" and the others succeed
     Then that target is <avoided> by this daemon
     And it is <candidate> for ejection
 
@@ -13,7 +13,7 @@
       | path           | avoided     | not a candidate |
       | backend-server | avoided     | a candidate     |
 
-  Scenario Outline: The accepted risk sets how many failures it takes
+  Scenario Outline: The accepted risk determines how many failures lead to avoidance
     Given a daemon that knows 6 targets in 3 zones
     And its service accepts a false ejection risk of <risk>
     When one target fails every request, 2 in each 100 ms
@@ -25,60 +25,60 @@
       | 1e-6  | 4        |
       | 1e-12 | 8        |
 
-  Scenario: A failure of all targets is nobody's fault
+  Scenario: Failures at all targets are not blamed on any of them
     Given a daemon that knows 6 targets in 3 zones
     When all targets fail half of their requests for 20 s
     Then no target is avoided by this daemon
 
-  Scenario: A service that becomes slow as a whole has no straggler
+  Scenario: No target is avoided when all become slow
     Given a daemon that knows 6 targets in 3 zones
     When all targets become 4 times as slow for 20 s
     Then no target is avoided by this daemon
 
-  Scenario: A zone that becomes slow is not the fault of its targets
+  Scenario: No target is avoided when its whole zone becomes slow
     Given a daemon that knows 12 targets in 3 zones
     When the targets of one zone become 4 times as slow for 20 s
     Then no target is avoided by this daemon
 
-  Scenario: A straggler is found by its route's latencies
+  Scenario: A slow target is detected by the latencies of its route
     Given a daemon that knows 6 targets in 3 zones
     When one target becomes 3 times as slow for 20 s
     Then that target is avoided by this daemon
 
-  Scenario: Waiting for a slot at the gate is not the backend server's latency
+  Scenario: Time spent waiting for a slot at the gate does not count as latency
     Given a daemon that knows 6 targets in 3 zones
     When requests to one target wait 500 ms for a slot for 20 s
     Then no target is avoided by this daemon
 
-  Scenario: A target that starts cold is not taken for a straggler
+  Scenario: A target is not avoided for being slow after a cold start
     Given a daemon that knows 6 targets in 3 zones
     When one target restarts and is 5 times as slow for 8 s
     Then no target is avoided by this daemon
     And that target gets a growing share of its weight
 
-  Scenario: A backend server that hangs is found before its requests time out
+  Scenario: A hanging backend server is detected before its requests time out
     Given a daemon that knows 6 targets in 3 zones
     When requests to one target get no answer for 8 s
     Then that target is avoided by this daemon
 
-  Scenario: A target returns after probes, and then slowly
+  Scenario: A target returns after successful probes, with a growing share
     Given a daemon that knows 6 targets in 3 zones
-    When one target is avoided and then answers 3 probes well
+    When one target is avoided and then answers 3 probes successfully
     Then that target gets a growing share of its weight
 
-  Scenario: A target that flaps stays out longer each time
+  Scenario: A target that flaps is avoided longer each time
     Given a daemon that knows 6 targets in 3 zones
     When one target is avoided 3 times in a row
-    Then each time out is twice as long as the one before
+    Then each avoidance is twice as long as the one before
 
-  Scenario: Only daemons with an interest in the service are told
+  Scenario: Evidence is sent only to daemons with an interest in the service
     Given 8 daemons of which 5 have an interest in the service
     When one target fails at one of them
-    Then only daemons with an interest got evidence, within the byte budget
+    Then only daemons with an interest received evidence, within the byte budget
 
-  Scenario Outline: A planted fault of the judgement is caught
+  Scenario Outline: The scenarios above detect a planted fault in the evaluation
     Given a daemon that knows 6 targets in 3 zones
-    And a judgement that <fault>
+    And an evaluation that <fault>
     When <event>
     Then some target is avoided by this daemon
 
@@ -88,11 +88,11 @@
       | counts the queue       | requests to one target wait 500 ms for a slot for 20 s |
       | excuses no cold start  | one target restarts and is 5 times as slow for 8 s |
 
-  Scenario Outline: A small fleet finds the fault in time and ejects nobody else
+  Scenario Outline: A small fleet detects the fault in time and ejects no healthy target
     Given 3 simulated fleets of a user who wants fast detection
-    When they suffer from "<fault>" for at most 8 s
-    Then the sick target was found within <ms> ms in each
-    And no healthy target was taken out and the floor held
+    When the fault "<fault>" lasts in them for at most 8 s
+    Then the unhealthy target was detected within <ms> ms in each
+    And no healthy target was ejected and the floor held
 
     Examples:
       | fault        | ms   |
@@ -102,13 +102,13 @@
 
   Scenario: Errors on one route of three are found within a second
     Given 3 simulated fleets of a user who wants fast detection
-    When they suffer from "one-route" for at most 8 s
-    Then the sick target was found within 1000 ms in each
+    When the fault "one-route" lasts in them for at most 8 s
+    Then the unhealthy target was detected within 1000 ms in each
 
-  Scenario Outline: A small fleet ejects nobody when nobody is at fault
+  Scenario Outline: A small fleet ejects no target when no backend server is at fault
     Given <count> simulated fleets of a user who wants <user>
-    When they suffer from "<fault>" for at most <seconds> s
-    Then no healthy target was taken out and the floor held
+    When the fault "<fault>" lasts in them for at most <seconds> s
+    Then no healthy target was ejected and the floor held
 
     Examples:
       | count | user                | fault               | seconds |
--- a/features/steps/evidence_steps.py
+++ b/features/steps/evidence_steps.py
@@ -1,4 +1,4 @@
-"""Steps for judging backend servers."""
+"""Steps for the evaluation of backend servers by the outcomes of requests."""
 
 import random
 from datetime import timedelta
@@ -27,8 +27,8 @@
 STEP = timedelta(milliseconds=25)
 
 
-class Judge:
-    """One daemon's evidence controller, fed by hand."""
+class EvidenceHarness:
+    """The evidence controller of one daemon, with simulated requests."""
 
     def __init__(self, targets, members=None, this="d0"):
         self.rng = random.Random(7)
@@ -73,75 +73,79 @@
         self.clock.advance(step)
         self.handle(Tick())
 
-    def warm(self, seconds=5):
-        self.load(seconds, lambda name: {})
+    def warm_up(self, seconds=5):
+        self.run_load(seconds, lambda name: {})
 
-    def load(self, seconds, manner):
-        """End one request at each target in each step, in the manner given."""
+    def run_load(self, seconds, get_result):
+        """End one request at each target in each step.
+
+        :param get_result: returns keyword arguments of :meth:`end_request` for a
+            target, or ``None`` for no request to it.
+        """
         for _ in range(int(timedelta(seconds=seconds) / STEP)):
             self.advance()
             for name in self.names:
-                how = manner(name)
-                if how is not None:
-                    self.end_request(name, **how)
+                result = get_result(name)
+                if result is not None:
+                    self.end_request(name, **result)
 
-    def avoided(self):
+    def get_avoided(self):
         return {name for name, h in self.board.health.items() if h.avoided}
 
 
 @given("a daemon that knows {count:d} targets in 3 zones")
-def make_judge(context, count):
-    context.judge = Judge(count)
-    context.judge.warm()
-    context.sick = context.judge.names[0]
+def create_harness(context, count):
+    context.harness = EvidenceHarness(count)
+    context.harness.warm_up()
+    context.unhealthy = context.harness.names[0]
 
 
 @given("its service accepts a false ejection risk of {risk:g}")
 def set_risk(context, risk):
     row = ServiceRow("s", false_ejection_risk=risk)
-    context.judge.board.table = Table(2, {"s": row})
-    context.judge.advance()
+    context.harness.board.table = Table(2, {"s": row})
+    context.harness.advance()
 
 
-def load_sick(context, seconds, **manner):
-    sick = context.sick
-    context.judge.load(seconds, lambda name: manner if name == sick else {})
+def run_load_on_unhealthy(context, seconds, **result):
+    unhealthy = context.unhealthy
+    context.harness.run_load(seconds, lambda name: result if name == unhealthy else {})
 
 
-@when('60 requests to one target end with blame "{blame}" and the others well')
+@when('60 requests to one target end with blame "{blame}" and the others succeed')
 def blame_one(context, blame):
-    load_sick(context, 60 * STEP.total_seconds(), blame=Blame(blame))
+    run_load_on_unhealthy(context, 60 * STEP.total_seconds(), blame=Blame(blame))
 
 
 @then("that target is {avoided} by this daemon")
 def check_avoided(context, avoided):
-    expected = set() if avoided == "not avoided" else {context.sick}
-    assert context.judge.avoided() == expected, context.judge.avoided()
+    expected = set() if avoided == "not avoided" else {context.unhealthy}
+    assert context.harness.get_avoided() == expected, context.harness.get_avoided()
 
 
 @then("no target is avoided by this daemon")
 def check_none_avoided(context):
-    assert not context.judge.avoided(), context.judge.avoided()
+    assert not context.harness.get_avoided(), context.harness.get_avoided()
 
 
 @then("some target is avoided by this daemon")
 def check_some_avoided(context):
-    assert context.judge.avoided()
+    assert context.harness.get_avoided()
 
 
 @then("it is {candidate} for ejection")
 def check_candidate(context, candidate):
     expected = candidate == "a candidate"
-    assert (context.sick in context.judge.board.ejection_candidates) == expected
+    assert (context.unhealthy in context.harness.board.ejection_candidates) == expected
 
 
 @when("one target fails every request, 2 in each 100 ms")
 def fail_all(context):
     context.failures = 0
-    while context.sick not in context.judge.avoided():
+    while context.unhealthy not in context.harness.get_avoided():
         if context.failures % 2 == 0:
-            context.judge.advance(timedelta(milliseconds=100))
-        context.judge.end_request(context.sick, Blame.BACKEND_SERVER)
+            context.harness.advance(timedelta(milliseconds=100))
+        context.harness.end_request(context.unhealthy, Blame.BACKEND_SERVER)
         context.failures += 1
         assert context.failures < 100
 
@@ -155,18 +159,18 @@
 def fail_half(context, seconds):
     rng = random.Random(3)
     blames = (Blame.NONE, Blame.BACKEND_SERVER)
-    context.judge.load(seconds, lambda name: {"blame": rng.choice(blames)})
+    context.harness.run_load(seconds, lambda name: {"blame": rng.choice(blames)})
 
 
 @when("all targets become {factor:d} times as slow for {seconds:d} s")
 def slow_all(context, factor, seconds):
-    context.judge.load(seconds, lambda name: {"factor": factor})
+    context.harness.run_load(seconds, lambda name: {"factor": factor})
 
 
 @when("the targets of one zone become {factor:d} times as slow for {seconds:d} s")
 def slow_zone(context, factor, seconds):
-    targets = context.judge.board.targets
-    context.judge.load(
+    targets = context.harness.board.targets
+    context.harness.run_load(
         seconds,
         lambda name: {
             "factor": factor if targets[name].availability_zone == "a" else 1
@@ -176,80 +180,87 @@
 
 @when("one target becomes {factor:d} times as slow for {seconds:d} s")
 def slow_one(context, factor, seconds):
-    load_sick(context, seconds, factor=factor)
+    run_load_on_unhealthy(context, seconds, factor=factor)
 
 
 @when("requests to one target wait {wait:d} ms for a slot for {seconds:d} s")
 def queue_one(context, wait, seconds):
-    load_sick(context, seconds, queueing=wait / 1_000)
+    run_load_on_unhealthy(context, seconds, queueing=wait / 1_000)
 
 
 @when("one target restarts and is {factor:d} times as slow for {seconds:d} s")
 def restart_one(context, factor, seconds):
-    board = context.judge.board
-    board.targets[context.sick] = attrs.evolve(
-        board.targets[context.sick], incarnation=1
+    board = context.harness.board
+    board.targets[context.unhealthy] = attrs.evolve(
+        board.targets[context.unhealthy], incarnation=1
+    )
+    context.harness.run_load(
+        1.1, lambda name: None if name == context.unhealthy else {}
     )
-    context.judge.load(1.1, lambda name: None if name == context.sick else {})
-    context.ramps = [board.health[context.sick].ramp]
-    load_sick(context, seconds, factor=factor)
+    context.ramps = [board.health[context.unhealthy].ramp]
+    run_load_on_unhealthy(context, seconds, factor=factor)
 
 
 @when("requests to one target get no answer for {seconds:d} s")
 def hang_one(context, seconds):
-    in_flight = context.judge.board.in_flight.by_target
-    in_flight[context.sick] = 1
-    sick = context.sick
-    context.judge.load(seconds, lambda name: None if name == sick else {})
+    in_flight = context.harness.board.in_flight.by_target
+    in_flight[context.unhealthy] = 1
+    unhealthy = context.unhealthy
+    context.harness.run_load(seconds, lambda name: None if name == unhealthy else {})
 
 
-@when("one target is avoided and then answers 3 probes well")
+@when("one target is avoided and then answers 3 probes successfully")
 def avoid_and_probe(context):
-    judge = context.judge
-    load_sick(context, 1, blame=Blame.BACKEND_SERVER)
-    assert judge.avoided() == {context.sick}
-    load_sick(context, 6)
+    harness = context.harness
+    run_load_on_unhealthy(context, 1, blame=Blame.BACKEND_SERVER)
+    assert harness.get_avoided() == {context.unhealthy}
+    run_load_on_unhealthy(context, 6)
     for _ in range(3):
-        assert judge.avoided() == {context.sick}
-        judge.handle(ProbeFinished(context.sick, True, timedelta(milliseconds=25)))
-        judge.advance()
-    assert not judge.avoided()
-    context.ramps = [judge.board.health[context.sick].ramp]
-    load_sick(context, 5)
+        assert harness.get_avoided() == {context.unhealthy}
+        harness.handle(
+            ProbeFinished(context.unhealthy, True, timedelta(milliseconds=25))
+        )
+        harness.advance()
+    assert not harness.get_avoided()
+    context.ramps = [harness.board.health[context.unhealthy].ramp]
+    run_load_on_unhealthy(context, 5)
 
 
 @then("that target gets a growing share of its weight")
 def check_ramp(context):
-    judge = context.judge
-    early, late = context.ramps[0], judge.board.health[context.sick].ramp
-    judge.load(10, lambda name: {})
-    assert early < late < judge.board.health[context.sick].ramp == 1.0, (early, late)
+    harness = context.harness
+    early, late = context.ramps[0], harness.board.health[context.unhealthy].ramp
+    harness.run_load(10, lambda name: {})
+    assert early < late < harness.board.health[context.unhealthy].ramp == 1.0, (
+        early,
+        late,
+    )
 
 
 @when("one target is avoided {count:d} times in a row")
 def flap(context, count):
-    judge = context.judge
-    context.times = []
+    harness = context.harness
+    context.avoidances = []
     for _ in range(count):
-        load_sick(context, 1, blame=Blame.BACKEND_SERVER)
-        assert judge.avoided() == {context.sick}
-        standing = judge.controller.health_tracker.get_state(context.sick)
-        context.times.append(standing.avoided_until - standing.last_avoided_at)
+        run_load_on_unhealthy(context, 1, blame=Blame.BACKEND_SERVER)
+        assert harness.get_avoided() == {context.unhealthy}
+        state = harness.controller.health_tracker.get_state(context.unhealthy)
+        context.avoidances.append(state.avoided_until - state.last_avoided_at)
         for _ in range(100):
-            if standing.phase is Phase.GOOD:
+            if state.phase is Phase.GOOD:
                 break
-            judge.handle(ProbeFinished(context.sick, True, timedelta()))
-            judge.advance(timedelta(milliseconds=500))
+            harness.handle(ProbeFinished(context.unhealthy, True, timedelta()))
+            harness.advance(timedelta(milliseconds=500))
 
 
-@then("each time out is twice as long as the one before")
-def check_time_outs(context):
-    first, second, third = context.times
+@then("each avoidance is twice as long as the one before")
+def check_avoidances(context):
+    first, second, third = context.avoidances
     assert first * 2 == second and second * 2 == third
 
 
 @given("{count:d} daemons of which {interested:d} have an interest in the service")
-def make_members(context, count, interested):
+def create_members(context, count, interested):
     members = {}
     for number in range(count):
         name = f"d{number}"
@@ -258,54 +269,56 @@
     collectors = evidence_sharing.choose_collectors(
         [m for m in members.values() if "s" in m.services], "s"
     )
-    context.judges = [Judge(6, members, f"d{number}") for number in range(interested)]
-    context.judge = context.judges[0]
-    assert context.judge.board.this_member not in collectors
+    context.harnesses = [
+        EvidenceHarness(6, members, f"d{number}") for number in range(interested)
+    ]
+    context.harness = context.harnesses[0]
+    assert context.harness.board.this_member not in collectors
 
 
 @when("one target fails at one of them")
 def fail_at_one(context):
-    context.sick = context.judge.names[0]
-    context.judge.warm()
-    load_sick(context, 30, blame=Blame.BACKEND_SERVER)
+    context.unhealthy = context.harness.names[0]
+    context.harness.warm_up()
+    run_load_on_unhealthy(context, 30, blame=Blame.BACKEND_SERVER)
 
 
-@then("only daemons with an interest got evidence, within the byte budget")
-def check_receivers(context):
-    sent = [e for e in context.judge.effects if isinstance(e, SendToPeer)]
+@then("only daemons with an interest received evidence, within the byte budget")
+def check_recipients(context):
+    sent = [e for e in context.harness.effects if isinstance(e, SendToPeer)]
     assert sent and {e.address for e in sent} <= {f"d{n}" for n in range(1, 5)}
     size = sum(len(encode_message(e.message)) for e in sent)
     budget = evidence_sharing.BURST_BYTES + 35 * evidence_sharing.BYTES_PER_S
     assert size <= budget, size
 
 
-def judge_alone(service, target, route, symptom, shared):
+def ignore_other_targets(service, target, route, symptom, shared):
     return False
 
 
-PLANTED = {
+PLANTED_FAULTS = {
     "ignores the others": [
-        (evidence_evaluation, "has_common_cause", judge_alone),
+        (evidence_evaluation, "has_common_cause", ignore_other_targets),
         (RouteBaseline, "estimate_healthy_rate", lambda self, symptom, rates: 0.1),
     ],
 }
 
 
-@given("a judgement that {fault}")
-def plant_fault_in_judgement(context, fault):
+@given("an evaluation that {fault}")
+def plant_fault_in_evaluation(context, fault):
     if fault == "excuses no cold start":
-        context.judge.controller.scan_targets = lambda now: None
+        context.harness.controller.scan_targets = lambda now: None
         return
     if fault == "counts the queue":
-        end_request = context.judge.end_request
+        end_request = context.harness.end_request
 
-        def end_with_queue(name, queueing=0.0, **manner):
+        def end_with_queueing_as_latency(name, queueing=0.0, **changes):
             factor = 1 + queueing / 0.02
-            end_request(name, factor=factor, **manner)
+            end_request(name, factor=factor, **changes)
 
-        context.judge.end_request = end_with_queue
+        context.harness.end_request = end_with_queueing_as_latency
         return
-    for owner, name, replacement in PLANTED[fault]:
+    for owner, name, replacement in PLANTED_FAULTS[fault]:
         original = getattr(owner, name)
         setattr(owner, name, replacement)
         context.add_cleanup(setattr, owner, name, original)
@@ -315,13 +328,13 @@
 
 
 @given("{count:d} simulated fleets of a user who wants {user}")
-def choose_fleets(context, count, user):
+def choose_simulated_service(context, count, user):
     context.count = count
     context.service = USERS[user]
 
 
-@when('they suffer from "{fault}" for at most {seconds:d} s')
-def simulate(context, fault, seconds):
+@when('the fault "{fault}" lasts in them for at most {seconds:d} s')
+def run_simulations(context, fault, seconds):
     end_s = context.service.onset_s + seconds
     scenario = attrs.evolve(context.service, fault=Fault(fault), end_s=end_s)
     context.simulated = [
@@ -330,13 +343,13 @@
     ]
 
 
-@then("the sick target was found within {limit:d} ms in each")
-def check_found(context, limit):
+@then("the unhealthy target was detected within {limit:d} ms in each")
+def check_detection_time(context, limit):
     times = [w.detected_at.get(n, 99) for w in context.simulated for n in w.sick]
     assert max(times) * 1_000 <= limit, times
 
 
-@then("no healthy target was taken out and the floor held")
-def check_harmless(context):
+@then("no healthy target was ejected and the floor held")
+def check_no_false_ejection(context):
     for world in context.simulated:
         assert not world.false_ejections and not world.floor_broken
