--- a/features/explain.feature
+++ b/features/explain.feature
@@ -1,10 +1,10 @@
-Feature: The logs of all daemons tell why a request failed
+Feature: The logs of all daemons explain why a request failed
 
-  Scenario Outline: A planted cause is found from the logs alone
-    Given an entry, and a gate before a backend server, whose logs are kept
-    When a request fails since <plant>
-    Then its story names the cause "<cause>"
-    And without the lines "<event>" of it the cause is not found
+  Scenario Outline: The cause of a failure is found from the logs alone
+    Given an entry and a gate beside a backend server, whose logs are recorded
+    When a request fails because <plant>
+    Then its explanation names the cause "<cause>"
+    And without its "<event>" lines the cause is not found
 
     Examples:
       | plant                             | cause                                   | event         |
@@ -21,26 +21,26 @@
       | a call made for it finds no room  | a call to contracts failed: no room     | request-ended |
 
   Scenario: Causes are counted
-    Given an entry, and a gate before a backend server, whose logs are kept
-    When a request fails since the backend server fails it
+    Given an entry and a gate beside a backend server, whose logs are recorded
+    When a request fails because the backend server fails it
     Then the causes are counted as "1  target of contracts failed the work with 500"
 
-  Scenario: A story tells what was believed, and since when
-    Given an entry, and a gate before a backend server, whose logs are kept
-    When a request fails since the backend server fails it
-    And its gate had thought it "warming" 2 s before
-    Then its story names the cause "believed warming before"
-    And its story tells "target-standing" for 2 s
+  Scenario: An explanation lists the beliefs of daemons and their age
+    Given an entry and a gate beside a backend server, whose logs are recorded
+    When a request fails because the backend server fails it
+    And its gate had logged the standing "warming" 2 s before
+    Then its explanation names the cause "believed warming before"
+    And its explanation lists "target-standing" with an age of 2 s
 
-  Scenario: What a daemon believed before its restart is not told
-    Given an entry, and a gate before a backend server, whose logs are kept
-    When a request fails since the backend server fails it
-    And its gate had thought it "warming" 2 s before
-    And its gate was started 1 s before
-    Then its story names the cause "believed good before"
+  Scenario: Beliefs of a daemon from before its restart are omitted
+    Given an entry and a gate beside a backend server, whose logs are recorded
+    When a request fails because the backend server fails it
+    And its gate had logged the standing "warming" 2 s before
+    And its gate had started 1 s before
+    Then its explanation names the cause "believed good before"
 
-  Scenario: What the fleet believed at a moment
-    Given these lines of daemons
+  Scenario: The beliefs of the fleet at a point in time
+    Given these log lines of daemons
       | process | second | line                                                |
       | d1      | 0      | event=daemon-started                                |
       | d1      | 1      | event=table-in-force version=3                      |
@@ -64,9 +64,9 @@
       | member d3 suspect: 1 daemons   |
       | store not reached by d2        |
 
-  Scenario Outline: Lines are read as they were written
-    Given a line with the field <value>
-    Then it is read back as it was
+  Scenario Outline: Log lines are parsed to the values that were written
+    Given a log line with the field <value>
+    Then it is parsed to the same values
 
     Examples:
       | value        |
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -1,4 +1,4 @@
-"""Steps for telling from the logs why a request failed."""
+"""Steps for explaining from the logs why a request failed."""
 
 import asyncio
 import logging
@@ -37,8 +37,8 @@
 GATE_LOGGER = "wagtailstep.network.gate"
 
 
-class KeptLog(logging.Handler):
-    """Keep lines as collectors show them: the daemon, then the line."""
+class RecordedLog(logging.Handler):
+    """Records lines as a log collector shows them: the daemon, then the line."""
 
     def __init__(self):
         super().__init__()
@@ -53,8 +53,8 @@
         )
 
 
-class LoggedWorld(PathWorld):
-    """A gate before a backend server, and an entry that sends to it."""
+class EntryAndGateHarness(PathWorld):
+    """A gate beside a backend server, and an entry that sends requests to it."""
 
     async def start(self, **changes):
         await super().start(**changes)
@@ -95,96 +95,96 @@
         except RequestError:
             pass
 
-    async def fill(self):
-        """Take all slots and places in the queue for a while."""
+    async def fill_queue(self):
+        """Occupy all slots and places in the queue for some seconds."""
         places = SLOTS + self.settings.requests.queue_length
         for number in range(places):
             task = self.send(f"other-{number}", work_ms=3_000, time_left_ms=60_000)
             asyncio.ensure_future(task)
         await asyncio.sleep(0.5)
 
-    def doubt(self):
+    def mark_failing(self):
         target = self.blackboard.targets[self.target_id]
         changed = attrs.evolve(target, standing=TargetStanding.FAILING)
         self.blackboard.targets[self.target_id] = changed
 
 
-async def take_all_slots(world):
-    await world.fill()
-    await world.send("r1")
+async def occupy_all_slots(harness):
+    await harness.fill_queue()
+    await harness.send("r1")
 
 
-async def fail_work(world):
-    world.backend.faults = Faults(fail_share=1.0)
-    await world.send("r1")
+async def fail_work(harness):
+    harness.backend.faults = Faults(fail_share=1.0)
+    await harness.send("r1")
 
 
-async def hang(world):
-    world.backend.faults = Faults(hang_share=1.0)
-    await world.send("r1", time_left_ms=500)
+async def hang_backend_server(harness):
+    harness.backend.faults = Faults(hang_share=1.0)
+    await harness.send("r1", time_left_ms=500)
 
 
-async def lose_answer(world):
-    world.backend.faults = Faults(lose_share=1.0)
-    await world.send("r1")
+async def lose_answer(harness):
+    harness.backend.faults = Faults(lose_share=1.0)
+    await harness.send("r1")
 
 
-async def leave(world):
-    world.set_state(TargetState.LEAVING)
-    await world.send("r1")
+async def start_leaving(harness):
+    harness.set_state(TargetState.LEAVING)
+    await harness.send("r1")
 
 
-async def fail_before(world):
-    world.doubt()
-    await world.send("r1")
+async def fail_target_before(harness):
+    harness.mark_failing()
+    await harness.send("r1")
 
 
-async def know_no_target(world):
-    del world.entry_board.targets[world.target_id]
-    await world.send("r1")
+async def remove_target(harness):
+    del harness.entry_board.targets[harness.target_id]
+    await harness.send("r1")
 
 
-async def be_late(world):
-    await world.send("r1", time_left_ms=0)
+async def miss_deadline(harness):
+    await harness.send("r1", time_left_ms=0)
 
 
-async def lose_gate(world):
-    await world.server.close()
-    await world.send("r1")
+async def stop_gate(harness):
+    await harness.server.close()
+    await harness.send("r1")
 
 
-async def go_away(world):
-    task = asyncio.ensure_future(world.send("r1", work_ms=3_000))
+async def disconnect_caller(harness):
+    task = asyncio.ensure_future(harness.send("r1", work_ms=3_000))
     await asyncio.sleep(0.5)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
 
 
-async def find_no_room_for_call(world):
-    await world.fill()
-    await world.send("r1.c1")
+async def refuse_nested_call(harness):
+    await harness.fill_queue()
+    await harness.send("r1.c1")
     await asyncio.sleep(30)
-    await fail_work(world)
+    await fail_work(harness)
 
 
-PLANTS = {
-    "all slots are taken": take_all_slots,
+CAUSES = {
+    "all slots are taken": occupy_all_slots,
     "the backend server fails it": fail_work,
-    "the backend server hangs": hang,
+    "the backend server hangs": hang_backend_server,
     "the answer is lost": lose_answer,
-    "the backend server is leaving": leave,
-    "its target failed just before": fail_before,
-    "no target is known": know_no_target,
-    "its time had passed": be_late,
-    "the gate is gone": lose_gate,
-    "its caller goes away": go_away,
-    "a call made for it finds no room": find_no_room_for_call,
+    "the backend server is leaving": start_leaving,
+    "its target failed just before": fail_target_before,
+    "no target is known": remove_target,
+    "its time had passed": miss_deadline,
+    "the gate is gone": stop_gate,
+    "its caller goes away": disconnect_caller,
+    "a call made for it finds no room": refuse_nested_call,
 }
 
 
-@given("an entry, and a gate before a backend server, whose logs are kept")
-def keep_logs(context):
-    context.log = KeptLog()
+@given("an entry and a gate beside a backend server, whose logs are recorded")
+def record_logs(context):
+    context.log = RecordedLog()
     logger = logging.getLogger("wagtailstep")
     level = logger.level
     logger.addHandler(context.log)
@@ -193,47 +193,47 @@
     context.add_cleanup(logger.removeHandler, context.log)
 
 
-@when("a request fails since {plant}")
-def plant_cause(context, plant):
+@when("a request fails because {plant}")
+def fail_request(context, plant):
     async def main():
-        world = LoggedWorld()
-        await world.start(slots=SLOTS)
-        await PLANTS[plant](world)
+        harness = EntryAndGateHarness()
+        await harness.start(slots=SLOTS)
+        await CAUSES[plant](harness)
         await asyncio.sleep(60)
-        await world.server.close()
-        await world.backend.stop()
+        await harness.server.close()
+        await harness.backend.stop()
 
     detangle.run(main, seed=1)
     context.lines = list(read_lines(context.log.texts, "unnamed"))
 
 
-def find_end(context):
+def get_end_line(context):
     return next(line for line in context.lines if line.event == "request-ended")
 
 
-@when('its gate had thought it "{standing}" {seconds:d} s before')
-def think_before(context, standing, seconds):
-    end = find_end(context)
+@when('its gate had logged the standing "{standing}" {seconds:d} s before')
+def log_standing_before(context, standing, seconds):
+    end = get_end_line(context)
     fields = {"target": end.get("target"), "standing": standing}
     time = end.time - timedelta(seconds=seconds)
     context.lines.insert(0, LogLine("gate-1", time, "target-standing", fields))
 
 
-@when("its gate was started {seconds:d} s before")
-def start_before(context, seconds):
-    time = find_end(context).time - timedelta(seconds=seconds)
+@when("its gate had started {seconds:d} s before")
+def log_start_before(context, seconds):
+    time = get_end_line(context).time - timedelta(seconds=seconds)
     context.lines.insert(1, LogLine("gate-1", time, "daemon-started"))
 
 
-@then('its story names the cause "{cause}"')
+@then('its explanation names the cause "{cause}"')
 def check_cause(context, cause):
     context.cause = cause
     found = explain_request(context.lines, "r1").cause
     assert cause in found, (found, context.log.texts)
 
 
-@then('without the lines "{event}" of it the cause is not found')
-def check_missing(context, event):
+@then('without its "{event}" lines the cause is not found')
+def check_cause_needs_lines(context, event):
     kept = [line for line in context.lines if line.event != event]
     found = explain_request(kept, "r1").cause
     assert context.cause not in found, found
@@ -245,7 +245,7 @@
     assert found.strip() == text, found
 
 
-@then('its story tells "{event}" for {seconds:d} s')
+@then('its explanation lists "{event}" with an age of {seconds:d} s')
 def check_belief(context, event, seconds):
     beliefs = explain_request(context.lines, "r1").beliefs
     ages = [belief.age for belief in beliefs if belief.line.event == event]
@@ -255,7 +255,7 @@
 START = datetime(2026, 1, 1, tzinfo=UTC)
 
 
-@given("these lines of daemons")
+@given("these log lines of daemons")
 def write_lines(context):
     texts = []
     for row in context.table:
@@ -274,13 +274,13 @@
     assert changes.count("event") == 0 and len(changes.splitlines()) == len(near) + 1
 
 
-@given("a line with the field {value}")
+@given("a log line with the field {value}")
 def write_line(context, value):
     context.value = value.replace(r"\n", "\n")
     context.line_text = format_fields({"event": "x", "value": context.value, "more": 1})
 
 
-@then("it is read back as it was")
+@then("it is parsed to the same values")
 def read_line(context):
     expected = {"event": "x", "value": context.value, "more": "1"}
     assert read_fields(context.line_text) == expected, context.line_text
--- a/features/steps/floor_steps.py
+++ b/features/steps/floor_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the arithmetic of the floor."""
+"""Steps for the computations of the floor."""
 
 import math
 import random
@@ -17,7 +17,7 @@
 
 
 def run_examples(count, check, *strategies):
-    # The library's limits on real time would make the verdict depend on the machine.
+    # hypothesis' limits on real time would make the verdict depend on the machine.
     fixed = settings(
         max_examples=count,
         database=None,
@@ -27,21 +27,24 @@
     seed(1)(fixed(generate(*strategies)(check)))()
 
 
-def counting_heads(weights, worst_first, least):
+def select_by_count(weights, worst_first, required):
     known = [name for name in worst_first if name in weights]
-    return known[: max(0, len(weights) - math.ceil(least))]
+    return known[: max(0, len(weights) - math.ceil(required))]
 
 
-def forgetting(weights, worst_first, least):
-    return [n for n in worst_first if floor.sum_in_service(weights, {n}) >= least]
+def select_each_alone(weights, worst_first, required):
+    return [n for n in worst_first if floor.sum_in_service(weights, {n}) >= required]
 
 
-FAULTY = {"counts heads": counting_heads, "forgets what it removed": forgetting}
+FAULTY_SELECTIONS = {
+    "counts heads": select_by_count,
+    "forgets what it removed": select_each_alone,
+}
 
 
-@given("a floor arithmetic that {fault}")
+@given("a floor computation that {fault}")
 def plant_fault(context, fault):
-    context.select_removable = FAULTY[fault]
+    context.select_removable = FAULTY_SELECTIONS[fault]
 
 
 @when("targets are chosen to be avoided in {count:d} random services")
@@ -49,56 +52,58 @@
     select = getattr(context, "select_removable", floor.select_removable)
     context.cases = []
 
-    def collect(weights, order, least):
-        context.cases.append((weights, order, least, select(weights, order, least)))
+    def collect(weights, order, required):
+        context.cases.append(
+            (weights, order, required, select(weights, order, required))
+        )
 
     run_examples(count, collect, WEIGHTS, ORDERS, FLOORS)
     assert any(removed for *_, removed in context.cases)
 
 
-def breaks_floor(weights, order, least, removed):
+def violates_floor(weights, order, required, removed):
     before = math.fsum(weights.values())
-    return floor.sum_in_service(weights, removed) < min(least, before)
+    return floor.sum_in_service(weights, removed) < min(required, before)
 
 
 @then("no choice leaves less than the floor, unless there was less before")
 def check_floor(context):
-    assert not any(breaks_floor(*case) for case in context.cases)
+    assert not any(violates_floor(*case) for case in context.cases)
 
 
-@then("each target that was kept would have broken the floor")
-def check_greedy(context):
-    for weights, order, least, removed in context.cases:
+@then("each target that was kept would have violated the floor")
+def check_no_needless_kept(context):
+    for weights, order, required, removed in context.cases:
         for kept in set(order) & set(weights) - set(removed):
-            left = floor.sum_in_service(weights, {*removed, kept})
-            assert left < least and weights[kept] > 0
+            remaining = floor.sum_in_service(weights, {*removed, kept})
+            assert remaining < required and weights[kept] > 0
 
 
 @then("the check of the floor fails")
 def check_fault_caught(context):
-    assert any(breaks_floor(*case) for case in context.cases)
+    assert any(violates_floor(*case) for case in context.cases)
 
 
 @when("ejected targets are returned in {count:d} random services")
 def choose_returns(context, count):
     context.cases = []
 
-    def collect(weights, order, least):
-        back = floor.select_returns(weights, order, least)
-        context.cases.append((weights, order, least, back))
+    def collect(weights, order, required):
+        returned = floor.select_returns(weights, order, required)
+        context.cases.append((weights, order, required, returned))
 
     run_examples(count, collect, WEIGHTS, ORDERS, FLOORS)
 
 
 @then("each return is the shortest prefix that restores the floor")
 def check_returns(context):
-    for weights, order, least, back in context.cases:
-        assert list(order[: len(back)]) == back
-        left = floor.sum_in_service(weights, order[len(back) :])
-        assert left >= least or len(back) == len(order)
-        if back:
-            one_less = floor.sum_in_service(weights, order[len(back) - 1 :])
-            assert one_less < least
+    for weights, order, required, returned in context.cases:
+        assert list(order[: len(returned)]) == returned
+        remaining = floor.sum_in_service(weights, order[len(returned) :])
+        assert remaining >= required or len(returned) == len(order)
+        if returned:
+            one_less = floor.sum_in_service(weights, order[len(returned) - 1 :])
+            assert one_less < required
 
 
 @when("two daemons with different views return targets in {count:d} random services")
@@ -106,15 +111,15 @@
     context.cases = []
     rng = random.Random(1)
 
-    def collect(weights, order, least):
+    def collect(weights, order, required):
         views = [{n: w for n, w in weights.items() if rng.random() < 0.8} for _ in "ab"]
-        backs = [floor.select_returns(view, order, least) for view in views]
-        context.cases.append([set(order) - set(back) for back in backs])
+        all_returned = [floor.select_returns(view, order, required) for view in views]
+        context.cases.append([set(order) - set(returned) for returned in all_returned])
 
     run_examples(count, collect, WEIGHTS, ORDERS, FLOORS)
 
 
-@then("the union of what stays out is what one of them leaves out")
+@then("the union of the targets that stay ejected equals the set of one of them")
 def check_union(context):
     for first, second in context.cases:
         assert (first | second) in (first, second)
