--- a/features/ejection.feature
+++ b/features/ejection.feature
@@ -15,7 +15,7 @@
       | log outages                              |
       | everything at once                       |
 
-  Scenario Outline: The checker catches a planted fault
+  Scenario Outline: The checker detects a planted fault
     Given 8 fleets with <trouble>
     And controllers that <fault>
     When they run for 120 s
--- a/features/entry.feature
+++ b/features/entry.feature
@@ -130,7 +130,7 @@
     Given every attempt hangs
     When a caller sends POST "/sign" with header wagtailstep-timeout-ms "400"
     Then the answer is 504 with verdict "may-have-run"
-    And the attempt was told that at most 400 ms are left
+    And the attempt was sent with at most 400 ms left
     And it took at most 450 ms
     And the hanging attempt was cancelled
     And nothing is in flight
@@ -167,7 +167,7 @@
     Given every attempt hangs
     And the table allows route "sign" of "contracts" 200 ms
     When a caller sends POST "/sign" with header wagtailstep-timeout-ms "5000"
-    Then the attempt was told that at most 200 ms are left
+    Then the attempt was sent with at most 200 ms left
 
   Scenario: The attempt is cancelled when its caller disconnects
     Given every attempt hangs
--- a/features/gate_path.feature
+++ b/features/gate_path.feature
@@ -1,24 +1,24 @@
-Feature: From entry through gate to backend server, every ending is true
-  Scenario: A silent connection is found, and the backend server keeps its good name
+Feature: Requests from entry through gate to backend server end with correct outcomes
+  Scenario: An unresponsive connection is detected and not blamed on the backend server
     Given a backend server behind its gate, and an entry
     When the kept connection goes silent before a non-idempotent request
     Then "lost" ended as "connection-failed" with verdict "not-run" and blame "connection"
     And the backend server was sent "lost" 0 times
     And "again" got its own whole answer
 
-  Scenario: The check for a false "not run" catches a gate that does not bar
+  Scenario: The check for a false "not-run" detects a gate that does not refuse revoked attempts
     Given a backend server behind a gate that forgets what it barred, and an entry
     When the kept connection goes silent before a non-idempotent request
     Then "lost" ended as "connection-failed" with verdict "not-run" and blame "connection"
     And the backend server was sent "lost" 1 times
 
-  Scenario: A slow request is not taken for a silent connection
+  Scenario: A slow request is not mistaken for an unresponsive connection
     Given a backend server behind its gate, and an entry
     When a request takes 5000 ms on a kept connection that works
     Then "slow" got its own whole answer
     And the backend server ran "slow" 1 times
 
-  Scenario: A lost answer is told as may-have-run
+  Scenario: A lost answer is reported as may-have-run
     Given a backend server behind its gate, and an entry
     When an answer is lost on a kept connection
     Then "unheard" ended as "connection-failed" with verdict "may-have-run" and blame "connection"
@@ -29,18 +29,18 @@
     When a caller cancels a request that the backend server is running
     Then the backend server was told of the cancellation and its slot is free
 
-  Scenario: The gate tells of a deadline before the entry gives up
+  Scenario: The gate reports a missed deadline before the entry times out
     Given a backend server behind its gate, and an entry
     When the backend server never answers a request with 2000 ms left
     Then "hanging" ended as "deadline-exceeded" with verdict "may-have-run" and blame "backend-server"
 
-  Scenario: A request that waited past its deadline speaks against no backend server
+  Scenario: A request that waited past its deadline is not blamed on the backend server
     Given a backend server behind its gate, and an entry
     When the deadline of a request passes while it waits for a slot
     Then "waiting" ended as "deadline-exceeded" with verdict "not-run" and blame "overload"
     And the backend server was sent "waiting" 0 times
 
-  Scenario Outline: A broken answer of the backend server is told as such
+  Scenario Outline: A broken answer of the backend server is reported as such
     Given a backend server behind its gate, and an entry
     When the backend server has the fault "<fault>"
     Then "faulty" ended as "<reason>" with verdict "may-have-run" and blame "backend-server"
@@ -56,18 +56,18 @@
     When the backend server has crashed
     Then "unsent" ended as "connection-failed" with verdict "not-run" and blame "backend-server"
 
-  Scenario: A refused upload stays with its caller
+  Scenario: The body of a refused upload is not read
     Given a backend server behind its gate, and an entry
     When a large upload is sent to a gate that refuses it
     Then "upload" ended as "leaving" with verdict "not-run" and blame "none"
     And the body of the upload was not touched
 
-  Scenario: No schedule of bytes, faults and cancellations makes an ending untrue
+  Scenario: No schedule of bytes, faults and cancellations leads to a wrong outcome
     Given a backend server behind its gate, and an entry
     When 25 schedules run with split and delayed bytes, faults and cancellations
     Then in no schedule a caller was told a lie or a request ran twice
 
-  Scenario Outline: The check of schedules catches planted faults
+  Scenario Outline: The check of schedules detects planted faults
     Given the same with the planted client fault "<fault>"
     When 8 schedules run with split and delayed bytes, faults and cancellations
     Then some schedule shows a lie or a request that ran twice
--- a/features/histories.feature
+++ b/features/histories.feature
@@ -1,14 +1,14 @@
-Feature: Histories of concurrent runs under faults keep the promises
+Feature: Histories of concurrent requests under faults keep the guarantees
 
-  Scenario: Without faults every operation is answered as run
+  Scenario: Without faults every request is answered as run
     When 10 schedules run without faults
-    Then no promise is broken
-    And every sending was answered as run
+    Then no guarantee is violated
+    And every request was answered as run
 
-  Scenario Outline: One fault breaks no promise
+  Scenario Outline: One fault violates no guarantee
     When 12 schedules run with fault "<fault>"
-    Then no promise is broken
-    And some operations of each kind ran
+    Then no guarantee is violated
+    And some operations of each type ran
 
     Examples:
       | fault                |
@@ -23,23 +23,23 @@
       | log-away             |
       | lost-acknowledgments |
 
-  Scenario: Pairs of faults break no promise
+  Scenario: Pairs of faults violate no guarantee
     When one schedule runs for each pair of faults
-    Then no promise is broken
-    And some operations of each kind ran
+    Then no guarantee is violated
+    And some operations of each type ran
 
-  Scenario: No key stays held without a run once the faults have gone
+  Scenario: No key stays held without a run after the faults have ended
     When 20 schedules run with faults "refusals, log-away, lost-acknowledgments"
-    Then no promise is broken
+    Then no guarantee is violated
 
   Scenario: The same seed gives the same history
     When schedule 77 runs twice
     Then both histories are the same
 
-  Scenario Outline: The checker catches planted faults
+  Scenario Outline: The checker detects planted faults
     Given the planted fault "<planted>"
     When 40 schedules run with the planted fault and fault "<fault>"
-    Then the promise "<promise>" is broken
+    Then the guarantee "<promise>" is violated
 
     Examples:
       | planted                                   | fault                | promise           |
--- a/features/steps/asking_gates_steps.py
+++ b/features/steps/asking_gates_steps.py
@@ -165,7 +165,7 @@
 
 
 @then("none was sent to more than {count:d} gates")
-def check_asked(context, count):
+def check_max_gates(context, count):
     assert all(len(attempts) <= count for attempts in context.sent)
 
 
@@ -274,7 +274,7 @@
     gates = SimulatedGates(context.count, rng)
     names = list(gates.controllers)
     shares = [request_class.share for request_class in context.classes]
-    mean_work = sum(k.work.total_seconds() * k.share for k in context.classes)
+    mean_work = sum(c.work.total_seconds() * c.share for c in context.classes)
     rate = load * 4 * context.count / mean_work
     done, sent = [], collections.Counter()
     now = timedelta()
--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the runtime, the log follower and whole daemons on loopback."""
+"""Steps for the runtime, the log follower and complete daemons on loopback."""
 
 import asyncio
 import json
--- a/features/steps/ejection_steps.py
+++ b/features/steps/ejection_steps.py
@@ -21,14 +21,10 @@
     "floor edits": ["change_floor"],
     "departures": ["change_targets"],
     "log outages": ["make_log_unavailable"],
-    "everything at once": [
-        "block_reads",
-        "block_appends",
-        "pause_daemon",
-        "change_floor",
-        "change_targets",
-        "make_log_unavailable",
-    ],
+    "everything at once": (
+        "block_reads block_appends pause_daemon change_floor change_targets "
+        "make_log_unavailable"
+    ).split(),
 }
 
 
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -410,7 +410,7 @@
     assert context.error.verdict.value == verdict
 
 
-@then("the attempt was told that at most {time:d} ms are left")
+@then("the attempt was sent with at most {time:d} ms left")
 def check_time_left(context, time):
     left = context.harness.forwarder.times_left[0]
     assert timedelta() < left <= timedelta(milliseconds=time), left
--- a/features/steps/gate_steps.py
+++ b/features/steps/gate_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the gate: admission without sockets, on a clock that is set by hand."""
+"""Steps for the admission of requests by the gate, without sockets."""
 
 import random
 from datetime import timedelta
@@ -26,8 +26,8 @@
 MILLISECOND = timedelta(milliseconds=1)
 
 
-class GateWorld:
-    """A gate controller, and what it said of each request."""
+class GateHarness:
+    """A gate controller with a manual clock, and its decision on each request."""
 
     def __init__(self, slots):
         self.clock = ManualClock()
@@ -57,20 +57,20 @@
         }
         request = GateRequest(**{**values, **changes})
         self.requests[serial] = request
-        self.tell(GateRequestArrived(request))
+        self.dispatch(GateRequestArrived(request))
 
     def end(self, serial, result=RunResult.ANSWERED):
         self.running.remove(serial)
-        self.tell(GateRequestEnded(serial, result))
+        self.dispatch(GateRequestEnded(serial, result))
 
-    def tell(self, event):
+    def dispatch(self, event):
         for effect in self.controller.handle(event):
             if isinstance(effect, StartRequest):
                 self.running.append(effect.serial)
             elif isinstance(effect, RefuseRequest):
                 self.refusals[effect.serial] = effect.error
 
-    def work(self, count, time_ms, route="sign", first=-100):
+    def run_requests(self, count, time_ms, route="sign", first=-100):
         """Run requests one after the other, each alone."""
         for serial in range(first, first + count):
             self.arrive(serial, route=route, idempotent=True)
@@ -82,19 +82,19 @@
         return self.controller.queues[TARGET_ID]
 
 
-@given("a gate before a backend server with {slots:d} slots")
-def make_gate(context, slots):
-    context.gate = GateWorld(slots)
+@given("a gate beside a backend server with {slots:d} slots")
+def create_gate(context, slots):
+    context.gate = GateHarness(slots)
 
 
-@given("requests that take {time_ms:d} ms each have been run")
+@given("requests that take {time_ms:d} ms each have run")
 def run_before(context, time_ms):
-    context.gate.work(20, time_ms)
+    context.gate.run_requests(20, time_ms)
 
 
 @given("{count:d} requests of a route that takes {time_ms:d} ms run")
-def run_long(context, count, time_ms):
-    context.gate.work(20, time_ms, "upload", -200)
+def start_long_requests(context, count, time_ms):
+    context.gate.run_requests(20, time_ms, "upload", -200)
     for serial in range(101, 101 + count):
         context.gate.arrive(serial, route="upload")
 
@@ -118,12 +118,12 @@
 
 
 @when("request {serial:d} arrives for a target that is not beside the gate")
-def arrive_for_other(context, serial):
+def arrive_for_unknown_target(context, serial):
     context.gate.arrive(serial, target_id="contracts/127.0.0.1:9999")
 
 
 @when("{time_ms:d} ms pass at the gate")
-def pass_time(context, time_ms):
+def advance_clock(context, time_ms):
     context.gate.clock.advance(time_ms * MILLISECOND)
 
 
@@ -132,15 +132,15 @@
     context.gate.end(serial)
 
 
-@when("the caller of request {serial:d} goes away")
-def abandon(context, serial):
+@when("the caller of request {serial:d} disconnects")
+def disconnect_caller(context, serial):
     if serial in context.gate.running:
         context.gate.running.remove(serial)
-    context.gate.tell(GateRequestAbandoned(serial))
+    context.gate.dispatch(GateRequestAbandoned(serial))
 
 
 @when("request {first:d} arrives again as request {second:d}")
-def arrive_again(context, first, second):
+def send_again(context, first, second):
     sent = context.gate.requests[first]
     context.gate.arrive(second, request_id=sent.request_id, deadline=sent.deadline)
 
@@ -149,11 +149,11 @@
 def revoke(context, serial):
     event = AttemptRevocationRequested(f"attempt-{serial}")
     (effect,) = context.gate.controller.handle(event)
-    context.told = effect.state.value
+    context.attempt_state = effect.state.value
 
 
-@when("the backend server sheds {count:d} requests one after the other")
-def shed(context, count):
+@when("the backend server refuses {count:d} requests one after the other")
+def refuse_by_server(context, count):
     for serial in range(1000, 1000 + count):
         context.gate.arrive(serial)
         context.gate.clock.advance(MILLISECOND)
@@ -169,8 +169,8 @@
         for number in serials:
             context.gate.arrive(number)
         context.gate.clock.advance(10 * MILLISECOND)
-        for place, number in enumerate(serials):
-            is_refused = place >= sustained
+        for index, number in enumerate(serials):
+            is_refused = index >= sustained
             result = RunResult.REFUSED if is_refused else RunResult.ANSWERED
             context.gate.end(number, result)
         serial += count
@@ -199,7 +199,7 @@
     assert (error.reason, error.verdict.value) == (reason, verdict), error
 
 
-@then("request {serial:d} is told to come back after {low:d} to {high:d} ms")
+@then("request {serial:d} gets a time to retry of {low:d} to {high:d} ms")
 def check_retry_after(context, serial, low, high):
     retry_after = context.gate.refusals[serial].retry_after
     assert low * MILLISECOND <= retry_after <= high * MILLISECOND, retry_after
@@ -216,9 +216,9 @@
     assert not context.gate.refusals, context.gate.refusals
 
 
-@then('the entry is told that the attempt is "{state}"')
-def check_told(context, state):
-    assert context.told == state, context.told
+@then('the entry gets the attempt state "{state}"')
+def check_attempt_state(context, state):
+    assert context.attempt_state == state, context.attempt_state
 
 
 @then("between {low:d} and {high:d} requests may run at once")
@@ -233,40 +233,40 @@
     assert context.gate.queue.limit.max_running == limit, context.gate.queue.limit.value
 
 
-@given("a gate before a backend server with {slots:d} slots that can be trusted")
-def make_trusting_gate(context, slots):
-    context.gate = GateWorld(slots)
+@given("a gate beside a backend server with {slots:d} slots that are trusted")
+def create_trusting_gate(context, slots):
+    context.gate = GateHarness(slots)
     settings = attrs.evolve(context.gate.settings, trust_slots=True)
     context.gate.controller.settings = settings
 
 
 @when("request {serial:d} arrives that may not wait")
-def arrive_hurried(context, serial):
+def arrive_without_waiting(context, serial):
     context.gate.arrive(serial, may_wait=False)
 
 
 @when("request {serial:d} arrives with priority {priority:d}")
-def arrive_ranked(context, serial, priority):
+def arrive_with_priority(context, serial, priority):
     context.gate.arrive(serial, priority=priority)
 
 
 @when(
     "request {serial:d} arrives with priority {priority:d} and {aim:d} ms until its aim"
 )
-def arrive_aimed(context, serial, priority, aim):
+def arrive_with_aim(context, serial, priority, aim):
     aim_deadline = context.gate.clock.monotonic() + aim * MILLISECOND
     context.gate.arrive(serial, priority=priority, aim_deadline=aim_deadline)
 
 
-@when("request {serial:d} arrives and its backend server turns it away unexecuted")
-def turn_away(context, serial):
+@when("request {serial:d} arrives and its backend server rejects it unexecuted")
+def reject_unexecuted(context, serial):
     context.gate.arrive(serial)
     context.gate.running.remove(serial)
-    context.gate.tell(GateRequestEnded(serial, RunResult.REFUSED, executed=False))
+    context.gate.dispatch(GateRequestEnded(serial, RunResult.REFUSED, executed=False))
 
 
-@when("request {serial:d} arrives and its backend server breaks off")
-def break_off(context, serial):
+@when("request {serial:d} arrives and its backend server closes the connection")
+def close_connection(context, serial):
     context.gate.arrive(serial)
     context.gate.end(serial, RunResult.ABANDONED)
 
--- a/features/steps/histories_steps.py
+++ b/features/steps/histories_steps.py
@@ -1,4 +1,4 @@
-"""Steps for histories of concurrent runs, and the faults planted to be caught."""
+"""Steps for histories of concurrent requests, and for planted faults to detect."""
 
 import contextlib
 import itertools
@@ -23,7 +23,7 @@
 
 
 @contextlib.contextmanager
-def quiet_logs():
+def disable_logs():
     logging.disable(logging.CRITICAL)
     try:
         yield
@@ -32,7 +32,7 @@
 
 
 def run_all(context, runs):
-    with quiet_logs():
+    with disable_logs():
         context.results = [run_schedule(seed, faults) for seed, faults in runs]
 
 
@@ -63,20 +63,20 @@
     run_all(context, [(seed, None), (seed, None)])
 
 
-@then("no promise is broken")
-def check_promises(context):
-    broken = [(r.seed, r.faults, v) for r in context.results for v in r.violations]
-    assert not broken, broken
+@then("no guarantee is violated")
+def check_no_violation(context):
+    violated = [(r.seed, r.faults, v) for r in context.results for v in r.violations]
+    assert not violated, violated
 
 
-@then("every sending was answered as run")
+@then("every request was answered as run")
 def check_all_run(context):
     sendings = [s for r in context.results for s in r.history.sendings]
     assert len(sendings) >= 100
     assert all(s.verdict == "run" and s.status == 200 for s in sendings)
 
 
-@then("some operations of each kind ran")
+@then("some operations of each type ran")
 def check_some_run(context):
     sendings = [s for r in context.results for s in r.history.sendings]
     ran = {s.kind for s in sendings if s.verdict == "run"}
@@ -90,13 +90,13 @@
     assert first.history == second.history
 
 
-def win_always(claims, pending):
+def run_always(claims, pending):
     return claims.run_first_waiting(pending)
 
 
-def settle_by_acknowledgment(claims, event):
+def decide_by_acknowledgment(claims, event):
     entries = claims.appender.in_flight_entries
-    effects = real_settle_append(claims, event)
+    effects = original_complete_append(claims, event)
     for entry in entries:
         if event.offset is not None and entry.key in claims.pending:
             effects = claims.run_first_waiting(claims.pending.pop(entry.key)) + effects
@@ -106,7 +106,7 @@
 def finish_as_not_run(store, run, verdict, answer):
     if verdict is Verdict.MAY_HAVE_RUN:
         verdict = Verdict.NOT_RUN
-    return real_finish(store, run, verdict, answer)
+    return original_finish(store, run, verdict, answer)
 
 
 def run_any_ticket(issuer, ticket, request, fingerprint):
@@ -120,17 +120,17 @@
 def run_old_ticket(issuer, ticket, request, fingerprint):
     if ticket.daemon_id == issuer.blackboard.this_member.daemon_id:
         return run_any_ticket(issuer, ticket, request, fingerprint)
-    return real_decide(issuer, ticket, request, fingerprint)
+    return original_decide(issuer, ticket, request, fingerprint)
 
 
-async def answer_late(fleet, daemon, sending, operation):
-    answer = await real_execute(fleet, daemon, sending, operation)
-    late, fleet.last_answer = getattr(fleet, "last_answer", answer), answer
-    return late
+async def return_previous_answer(fleet, daemon, sending, operation):
+    answer = await original_execute(fleet, daemon, sending, operation)
+    previous, fleet.last_answer = getattr(fleet, "last_answer", answer), answer
+    return previous
 
 
-async def pass_on_short(fleet, daemon, sending, operation):
-    answer = await real_execute(fleet, daemon, sending, operation)
+async def relay_truncated_answer(fleet, daemon, sending, operation):
+    answer = await original_execute(fleet, daemon, sending, operation)
     chunks = []
     with contextlib.suppress(exceptions.TruncatedAnswerError):
         async for chunk in answer.body:
@@ -138,41 +138,45 @@
     return Answer(200, (), yield_bytes(b"".join(chunks)), Verdict.RUN)
 
 
-async def call_lost_not_run(fleet, exchange, time_left):
+async def report_lost_as_not_run(fleet, exchange, time_left):
     try:
-        return await real_wait_for_reply(fleet, exchange, time_left)
+        return await original_wait_for_reply(fleet, exchange, time_left)
     except exceptions.RequestError as error:
         error.verdict = Verdict.NOT_RUN
         raise
 
 
 def refuse_as_not_run(request):
-    error = real_log_away_error(request)
+    error = original_log_unavailable_error(request)
     error.verdict = Verdict.NOT_RUN
     return error
 
 
-real_settle_append = ServiceClaims.complete_append
-real_finish = RunStore.finish
-real_decide = TicketIssuer.decide
-real_execute = FakeFleet.execute
-real_wait_for_reply = FakeFleet.wait_for_reply
-real_log_away_error = claims.build_log_unavailable_error
+original_complete_append = ServiceClaims.complete_append
+original_finish = RunStore.finish
+original_decide = TicketIssuer.decide
+original_execute = FakeFleet.execute
+original_wait_for_reply = FakeFleet.wait_for_reply
+original_log_unavailable_error = claims.build_log_unavailable_error
 
-PLANTED = {
+PLANTED_FAULTS = {
     "resend of a non-idempotent request": (
         RetryPolicy,
         "try_acquire_retry",
         lambda policy, request, error, attempts, sent=0: attempts < 3,
     ),
-    "answer of another request": (FakeFleet, "execute", answer_late),
-    "truncated answer passed on as whole": (FakeFleet, "execute", pass_on_short),
-    "lost answer called not run": (FakeFleet, "wait_for_reply", call_lost_not_run),
-    "claim ignored": (ServiceClaims, "decide_pending", win_always),
+    "answer of another request": (FakeFleet, "execute", return_previous_answer),
+    "truncated answer passed on as whole": (
+        FakeFleet,
+        "execute",
+        relay_truncated_answer,
+    ),
+    "lost answer called not run": (FakeFleet, "wait_for_reply", report_lost_as_not_run),
+    "claim ignored": (ServiceClaims, "decide_pending", run_always),
     "claim won by its acknowledgment": (
         ServiceClaims,
         "complete_append",
-        settle_by_acknowledgment,
+        decide_by_acknowledgment,
     ),
     "claim released after it may have run": (RunStore, "finish", finish_as_not_run),
     "ticket run again by its issuer": (RunStore, "finish", finish_as_not_run),
@@ -188,17 +192,17 @@
 
 
 @given('the planted fault "{name}"')
-def plant(context, name):
-    context.planted = PLANTED[name]
+def choose_planted_fault(context, name):
+    context.planted_fault = PLANTED_FAULTS[name]
 
 
 @when('{count:d} schedules run with the planted fault and fault "{fault}"')
-def run_planted(context, count, fault):
-    with mock.patch.object(*context.planted):
+def run_with_planted_fault(context, count, fault):
+    with mock.patch.object(*context.planted_fault):
         run_with_fault(context, count, fault)
 
 
-@then('the promise "{promise}" is broken')
-def check_broken_promise(context, promise):
-    broken = {v.promise for r in context.results for v in r.violations}
-    assert promise in broken, broken
+@then('the guarantee "{promise}" is violated')
+def check_violation(context, promise):
+    violated = {v.promise for r in context.results for v in r.violations}
+    assert promise in violated, violated
