--- a/features/announcements.feature
+++ b/features/announcements.feature
@@ -1,5 +1,5 @@
 Feature: Backend servers announce themselves to the daemon beside them
-  Scenario: A target whose announcement is not renewed is withdrawn by the local clock
+  Scenario: An announcement lapses by the local clock if it is not renewed
     Given a controller of announcements
     When its backend server "contracts/127.0.0.1:8000" announces itself
     Then the local target is "serving"
--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -52,7 +52,7 @@
     When 10001 more tickets are issued at "a"
     Then the ticket at "a" is decided as "wait"
 
-  Scenario: A daemon knows which of its tickets are still unused
+  Scenario: A daemon knows whether it has issued tickets that are still open
     Given a ticket of daemon "a"
     Then "a" has open tickets
     And the ticket at "a" is decided as "run"
@@ -219,7 +219,7 @@
     And "b" claims the key "k1"
     Then the request at "b" is decided as "run"
 
-  Scenario: A key that was not stored for lack of space is not run
+  Scenario: A request whose key was not stored for lack of space is not run
     When 20000 other keys have been claimed in the log
     And "b" gets a request with key "k1" although its key store is full
     And the retention of the log has nearly passed
--- a/features/gate.feature
+++ b/features/gate.feature
@@ -138,7 +138,7 @@
     Then request 2 is refused as "overloaded" with verdict "not-run"
     And request 2 gets a time to retry of 400 to 400 ms
 
-  Scenario: Waiting requests with a higher priority run first
+  Scenario: Waiting requests run in the order of their priority
     Given a gate beside a backend server with 1 slots
     When 1 requests arrive at the gate
     And request 2 arrives with priority 2
@@ -147,7 +147,7 @@
     Then requests 3 run
     And request 2 waits
 
-  Scenario: The expected wait of a request leaves out those of lower priority
+  Scenario: The expected wait of a request leaves out those that it overtakes
     Given a gate beside a backend server with 1 slots
     And requests that take 400 ms each have run
     When 1 requests arrive at the gate
@@ -157,14 +157,14 @@
     Then request 4 waits
     And nothing is refused
 
-  Scenario: A request whose answer would miss its aim in the queue is refused
+  Scenario: A request that would miss its aim by queueing is refused
     Given a gate beside a backend server with 1 slots
     And requests that take 400 ms each have run
     When 1 requests arrive at the gate
     And request 2 arrives with priority 1 and 1100 ms until its aim
     Then request 2 is refused as "overloaded" with verdict "not-run"
 
-  Scenario: With trusted slots, refusals by the backend server do not lower the limit
+  Scenario: With trusted slots, refusals while slots are free do not lower the limit
     Given a gate beside a backend server with 4 slots that are trusted
     When the backend server refuses 10 requests one after the other
     Then 4 requests may run at once
--- a/features/steps/announcements_steps.py
+++ b/features/steps/announcements_steps.py
@@ -53,7 +53,7 @@
 
 
 @when("{seconds:d} seconds pass without an announcement")
-def pass_time(context, seconds):
+def advance_clock(context, seconds):
     for _ in range(seconds * 10):
         context.clock.advance(timedelta(milliseconds=100))
         context.controller.handle(Tick())
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -66,20 +66,20 @@
     async def close(self):
         self.closed += 1
 
-    def make_answer(self, status, text, error=None):
+    def build_answer(self, status, text, error=None):
         body = yield_chunks([text.encode()], error)
         return Answer(status, (), body, Verdict.RUN, self.close)
 
     async def end_answer(self, request, incoming):
         await self.read_body(incoming)
-        return self.make_answer(200, f"answer of {request.method} {request.path}")
+        return self.build_answer(200, f"answer of {request.method} {request.path}")
 
     async def end_truncated_answer(self, request, incoming):
         error = exceptions.TruncatedAnswerError("short")
-        return self.make_answer(200, "begin", error=error)
+        return self.build_answer(200, "begin", error=error)
 
     async def end_server_error(self, request, incoming):
-        return self.make_answer(500, "failed")
+        return self.build_answer(500, "failed")
 
     async def end_connect_refused(self, request, incoming):
         raise exceptions.ConnectionFailedError("refused", NOT_RUN)
@@ -249,7 +249,7 @@
         await answer.close()
 
 
-def make_incoming(method, path, extra=(), body=None, service="contracts"):
+def build_incoming(method, path, extra=(), body=None, service="contracts"):
     given_headers = [(headers.SERVICE, service)] if service else []
     given_headers += extra
     names = {name: value for name, value in given_headers}
@@ -264,7 +264,7 @@
         )
         started = asyncio.get_running_loop().time()
         for _ in range(count):
-            incoming = make_incoming(method, path, extra, body, service)
+            incoming = build_incoming(method, path, extra, body, service)
             await read_answer(context, await entry.handle(incoming))
         context.duration = asyncio.get_running_loop().time() - started
 
@@ -319,7 +319,7 @@
 def send_and_disconnect(context, method, path, time):
     async def call():
         entry = context.harness.create_entry()
-        task = asyncio.create_task(entry.handle(make_incoming(method, path)))
+        task = asyncio.create_task(entry.handle(build_incoming(method, path)))
         await asyncio.sleep(time / 1000)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -332,7 +332,7 @@
 def send_and_close(context, method, path):
     async def call():
         entry = context.harness.create_entry()
-        answer = await entry.handle(make_incoming(method, path))
+        answer = await entry.handle(build_incoming(method, path))
         await answer.close()
 
     detangle.run(call)
--- a/features/steps/keyed_entry_steps.py
+++ b/features/steps/keyed_entry_steps.py
@@ -6,7 +6,7 @@
 import detangle
 from at_most_once_steps import STREAM
 from behave import then, when
-from entry_steps import EntryHarness, make_incoming, read_answer, yield_chunks
+from entry_steps import EntryHarness, build_incoming, read_answer, yield_chunks
 
 from wagtailstep.models import headers
 from wagtailstep.models.events import LogRecordsRead
@@ -18,7 +18,7 @@
 def start_keyed_request(harness, entry, **changes):
     harness.board.log_reachable = True
     extra = [(headers.IDEMPOTENCY_KEY, "k1"), (headers.TIMEOUT_MS, "300")]
-    return asyncio.create_task(entry.handle(make_incoming("POST", "/sign", extra)))
+    return asyncio.create_task(entry.handle(build_incoming("POST", "/sign", extra)))
 
 
 def read_claim(harness):
@@ -75,7 +75,7 @@
             body = b"two" if changed == "body" else b"one"
             account = "hall" if changed == "account" else "union"
             extra = [key, (headers.ACCOUNT, account)]
-            incoming = make_incoming("POST", path, extra, yield_chunks([body]))
+            incoming = build_incoming("POST", path, extra, yield_chunks([body]))
             await read_answer(context, await entry.handle(incoming))
 
     detangle.run(call)
