--- a/benchmarks/check_histories.py
+++ b/benchmarks/check_histories.py
@@ -13,14 +13,14 @@
 from benchmarks.histories.schedule import RunResult, run_schedule
 from benchmarks.report import Report
 
-PROGRESS_RUNS = 50
+PROGRESS_INTERVAL_RUNS = 50
 REPORT = pathlib.Path("docs/measurements/histories.md")
 
 
-def count_ends(result: RunResult, ends: collections.Counter) -> None:
+def count_outcomes(result: RunResult, outcomes: collections.Counter) -> None:
     """Count how the sendings of a run ended, by kind and verdict."""
     for sending in result.history.sendings:
-        ends[f"{sending.kind.value}/{sending.verdict or 'no-answer'}"] += 1
+        outcomes[f"{sending.kind.value}/{sending.verdict or 'no-answer'}"] += 1
 
 
 def main(seed: int = 1, runs: int = 200, report: bool = False) -> None:
@@ -31,13 +31,13 @@
     :param report: whether to write the page with the counts.
     """
     logging.disable(logging.CRITICAL)
-    page = Report("Histories", "check_histories", seed)
+    markdown_report = Report("Histories", "check_histories", seed)
     violations = 0
-    ends = collections.Counter()
+    outcomes = collections.Counter()
     faults = collections.Counter()
     for index in range(runs):
         result = run_schedule(seed * 1_000_000 + index)
-        count_ends(result, ends)
+        count_outcomes(result, outcomes)
         faults.update(result.faults)
         violations += len(result.violations)
         for violation in result.violations:
@@ -45,18 +45,20 @@
                 f"seed={result.seed} faults={'+'.join(result.faults)} "
                 f"promise={violation.promise} {violation.detail}"
             )
-        if (index + 1) % PROGRESS_RUNS == 0:
+        if (index + 1) % PROGRESS_INTERVAL_RUNS == 0:
             print(f"runs={index + 1} violations={violations}", flush=True)
-    for name, count in sorted({**ends, **faults}.items()):
+    for name, count in sorted({**outcomes, **faults}.items()):
         print(f"count {name}={count}")
     verdict = f"histories={runs} violations={violations}"
     if report:
-        page.add_text(
+        markdown_report.add_text(
             "Sendings by kind and verdict, and schedules by fault, one or two in each."
         )
-        rows = sorted({**ends, **faults}.items())
-        page.add_table(["count of", "number"], [[n, str(c)] for n, c in rows])
-        page.write(REPORT, verdict)
+        rows = sorted({**outcomes, **faults}.items())
+        markdown_report.add_table(
+            ["count of", "number"], [[n, str(c)] for n, c in rows]
+        )
+        markdown_report.write(REPORT, verdict)
     print(verdict)
     sys.exit(1 if violations else 0)
 
--- a/benchmarks/histories/checker.py
+++ b/benchmarks/histories/checker.py
@@ -12,7 +12,7 @@
 INTERNAL_SERVER_ERROR = 500
 
 
-def make_answer(operation: int, sending: int) -> str:
+def build_answer(operation: int, sending: int) -> str:
     """Return the whole answer of a backend server to one execution."""
     return f"answer to operation {operation} run for sending {sending}" + "." * 40
 
@@ -20,14 +20,14 @@
 def check_history(history: RunHistory) -> list[Violation]:
     """Return all violations of the promises in a history."""
     return [
-        *check_executions(history),
+        *check_at_most_once(history),
         *check_answers(history),
-        *check_not_run(history),
-        *check_order(history),
+        *check_not_run_verdicts(history),
+        *check_linearizability(history),
     ]
 
 
-def check_executions(history: RunHistory) -> Iterator[Violation]:
+def check_at_most_once(history: RunHistory) -> Iterator[Violation]:
     """Find non-idempotent requests that ran more than once.
 
     A keyed operation runs once over all its sendings, an unkeyed one once for each.
@@ -53,12 +53,14 @@
             yield Violation("no-fault-of-the-daemon", str(sending))
         if sending.status != OK:
             continue
-        own = {make_answer(*pair) for pair in executed if is_own(sending, *pair)}
-        if sending.body not in own:
+        acceptable = {
+            build_answer(*pair) for pair in executed if may_answer(sending, *pair)
+        }
+        if sending.body not in acceptable:
             yield Violation("own-whole-answer", str(sending))
 
 
-def is_own(sending: Sending, operation: int, number: int) -> bool:
+def may_answer(sending: Sending, operation: int, number: int) -> bool:
     """Tell whether an execution may answer a sending.
 
     A keyed resend gets the answer of the one execution, whichever sending led to it.
@@ -68,7 +70,7 @@
     return sending.kind.keyed or number == sending.sending
 
 
-def check_not_run(history: RunHistory) -> Iterator[Violation]:
+def check_not_run_verdicts(history: RunHistory) -> Iterator[Violation]:
     """Find requests that had run when their caller was told that they had not.
 
     Of a sending told "not run" nothing may ever run; of its operation, if it has a
@@ -85,7 +87,7 @@
                 yield Violation("not-run-is-a-fact", f"{sending} but {execution}")
 
 
-def check_not_stuck(history: RunHistory) -> Iterator[Violation]:
+def check_keyed_operations_ran(history: RunHistory) -> Iterator[Violation]:
     """Find keyed operations that did not run although all faults had gone."""
     ran = {execution.operation for execution in history.executions}
     for operation in {s.operation: s for s in history.sendings if s.kind.keyed}:
@@ -93,7 +95,7 @@
             yield Violation("not-stuck", f"operation {operation}")
 
 
-class OnceModel(detangle.lin.Model):
+class AtMostOnceModel(detangle.lin.Model):
     """A keyed operation: it has run or not; answers agree with that.
 
     Operation ``send`` (operation number) with the output ``run`` makes or finds it
@@ -122,7 +124,7 @@
         return list(groups.values())
 
 
-def check_order(history: RunHistory) -> Iterator[Violation]:
+def check_linearizability(history: RunHistory) -> Iterator[Violation]:
     """Check that the answers to keyed operations are linearizable.
 
     An answer "may have run" or no answer at all is an unknown outcome.
@@ -137,7 +139,7 @@
             recorded.ok(invoked[sending.sending], sending.verdict)
         else:
             recorded.info(invoked[sending.sending])
-    result = recorded.check(OnceModel())
+    result = recorded.check(AtMostOnceModel())
     if not result.ok:
         yield Violation("linearizable", result.explain())
 
--- a/benchmarks/histories/fleet.py
+++ b/benchmarks/histories/fleet.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from benchmarks.histories.checker import make_answer
+from benchmarks.histories.checker import build_answer
 from benchmarks.histories.history import Execution, RunHistory
 from benchmarks.histories.network import FakeLog, FakeNetwork, Faults
 from wagtailstep import exceptions
@@ -27,13 +27,13 @@
 from wagtailstep.utils.clock import LoopClock
 
 SERVICE = "contracts"
-SENDING = "x-sending"
+SENDING_HEADER = "x-sending"
 ADDRESS = "127.0.0.1:0"
 CONNECT_TIMEOUT_S = 0.1
 
 
 @attrs.define
-class WholeAnswer:
+class CompleteAnswer:
     """An answer as a caller's HTTP client has it after reading it whole."""
 
     status: int
@@ -49,13 +49,13 @@
             yield chunk
 
 
-async def yield_truncated(data: bytes) -> Any:
+async def yield_truncated_bytes(data: bytes) -> Any:
     """Yield half a body and fail."""
     yield data[: len(data) // 2]
     raise exceptions.TruncatedAnswerError("the answer ended early")
 
 
-class SilentChannel:
+class NullChannel:
     """A control channel that nobody listens to."""
 
     async def start(self, receive: Any) -> None:
@@ -96,8 +96,8 @@
         self.daemon_id = daemon_id
         self.fleet = fleet
         self.incarnation = 0
-        self.awake = asyncio.Event()
-        self.awake.set()
+        self.not_paused = asyncio.Event()
+        self.not_paused.set()
         self.tasks: set[asyncio.Task] = set()
 
     async def boot(self) -> None:
@@ -109,11 +109,11 @@
             self.daemon_id, *["z", ADDRESS, ADDRESS, ADDRESS, ADDRESS]
         )
         settings = attrs.evolve(settings, log=LogSettings(poll_ms=50))
-        self.board = self.fleet.make_blackboard(self)
+        self.board = self.fleet.create_blackboard(self)
         rng = random.Random(f"{self.fleet.seed}/{self.daemon_id}")
         parts = (settings, self.board, LoopClock(), rng)
         log = LogClient(self.daemon_id, self.fleet.log)
-        self.runtime = Runtime(*parts, Outside(log, SilentChannel(), None))
+        self.runtime = Runtime(*parts, Outside(log, NullChannel(), None))
         self.routing = RoutingController(*parts)
         self.guard = DuplicateGuard(*parts)
         self.entry = EntryService(
@@ -143,19 +143,19 @@
         task.add_done_callback(self.tasks.discard)
         return task
 
-    async def take(self, incoming: IncomingRequest) -> WholeAnswer:
+    async def handle(self, incoming: IncomingRequest) -> CompleteAnswer:
         """Handle a request and write its answer, as the HTTP server does.
 
         :raises RequestError: if the transfer of the answer breaks.
         """
-        await self.awake.wait()
+        await self.not_paused.wait()
         answer = await self.entry.handle(incoming)
         try:
             body = b"".join([chunk async for chunk in answer.body])
         finally:
             await answer.close()
-        await self.awake.wait()
-        return WholeAnswer(answer.status, answer.headers, body)
+        await self.not_paused.wait()
+        return CompleteAnswer(answer.status, answer.headers, body)
 
     async def forward(
         self,
@@ -166,11 +166,11 @@
         time_left: timedelta,
     ) -> Answer:
         """Send one attempt; the interface of the real HTTP client."""
-        await self.awake.wait()
+        await self.not_paused.wait()
         gate_daemon = self.fleet.daemons[gate.daemon_id]
         await self.fleet.connect(self.daemon_id, gate_daemon)
         body = b"".join([chunk async for chunk in incoming.body])
-        sending = int(find_header(incoming.headers, SENDING))
+        sending = int(find_header(incoming.headers, SENDING_HEADER))
         exchange = self.fleet.exchange_with_gate(
             self.daemon_id, gate_daemon, sending, body
         )
@@ -180,12 +180,12 @@
         self, member: Member, incoming: IncomingRequest, time_left: timedelta
     ) -> Answer:
         """Pass a request on; the interface of the real HTTP client."""
-        await self.awake.wait()
+        await self.not_paused.wait()
         other = self.fleet.daemons[member.daemon_id]
         exchange = self.fleet.exchange_with_entry(self.daemon_id, other, incoming)
-        whole = await self.fleet.wait_for_reply(exchange, time_left)
-        verdict = Verdict(find_header(whole.headers, headers.VERDICT))
-        return Answer(whole.status, whole.headers, yield_bytes(whole.body), verdict)
+        answer = await self.fleet.wait_for_reply(exchange, time_left)
+        verdict = Verdict(find_header(answer.headers, headers.VERDICT))
+        return Answer(answer.status, answer.headers, yield_bytes(answer.body), verdict)
 
 
 class FakeFleet:
@@ -204,7 +204,7 @@
         ids = [f"d{number}" for number in range(1, size + 1)]
         self.daemons = {daemon_id: FakeDaemon(daemon_id, self) for daemon_id in ids}
 
-    def make_blackboard(self, daemon: FakeDaemon) -> Blackboard:
+    def create_blackboard(self, daemon: FakeDaemon) -> Blackboard:
         """Return what a daemon knows after it has found the others."""
         members = {
             other.daemon_id: Member(
@@ -232,11 +232,11 @@
 
         :raises ConnectionFailedError: ``NOT_RUN`` if that fails.
         """
-        there = await self.network.carry(sender, daemon.daemon_id)
-        back = await self.network.carry(daemon.daemon_id, sender)
-        if not (there and back):
+        request_arrived = await self.network.deliver(sender, daemon.daemon_id)
+        reply_arrived = await self.network.deliver(daemon.daemon_id, sender)
+        if not (request_arrived and reply_arrived):
             await asyncio.sleep(CONNECT_TIMEOUT_S)
-        if not (there and back and daemon.up):
+        if not (request_arrived and reply_arrived and daemon.up):
             raise exceptions.ConnectionFailedError("no connection", Verdict.NOT_RUN)
 
     async def wait_for_reply(self, exchange: Any, time_left: timedelta) -> Any:
@@ -253,23 +253,23 @@
                 "no reply", Verdict.MAY_HAVE_RUN
             ) from None
 
-    async def carry_or_hang(self, sender: str, receiver: str) -> None:
+    async def deliver_or_hang(self, sender: str, receiver: str) -> None:
         """Carry a message; if it is lost, its receiver waits in vain."""
-        if not await self.network.carry(sender, receiver):
+        if not await self.network.deliver(sender, receiver):
             await asyncio.sleep(3_600)
 
     async def exchange_with_entry(
         self, sender: str, daemon: FakeDaemon, incoming: IncomingRequest
-    ) -> WholeAnswer:
+    ) -> CompleteAnswer:
         """Bring a request to a daemon's entry and the answer back."""
         await self.connect(sender, daemon)
-        await self.carry_or_hang(sender, daemon.daemon_id)
-        taking = daemon.spawn(daemon.take(incoming))
-        await asyncio.wait([taking])
-        if taking.cancelled():
+        await self.deliver_or_hang(sender, daemon.daemon_id)
+        handling = daemon.spawn(daemon.handle(incoming))
+        await asyncio.wait([handling])
+        if handling.cancelled():
             raise exceptions.ConnectionFailedError("reset", Verdict.MAY_HAVE_RUN)
-        answer = taking.result()
-        await self.carry_or_hang(daemon.daemon_id, sender)
+        answer = handling.result()
+        await self.deliver_or_hang(daemon.daemon_id, sender)
         return answer
 
     async def exchange_with_gate(
@@ -277,20 +277,20 @@
     ) -> Answer:
         """Bring an attempt to a gate, run it there and bring the answer back."""
         incarnation = daemon.incarnation
-        await self.carry_or_hang(sender, daemon.daemon_id)
-        await daemon.awake.wait()
+        await self.deliver_or_hang(sender, daemon.daemon_id)
+        await daemon.not_paused.wait()
         if not daemon.up or daemon.incarnation != incarnation:
             raise exceptions.ConnectionFailedError("reset", Verdict.MAY_HAVE_RUN)
-        if self.rng.random() < self.faults.refusal:
-            await self.carry_or_hang(daemon.daemon_id, sender)
-            raise self.make_refusal()
+        if self.rng.random() < self.faults.refusal_probability:
+            await self.deliver_or_hang(daemon.daemon_id, sender)
+            raise self.build_refusal_error()
         answer = await self.execute(daemon, sending, int(body))
         if not daemon.up or daemon.incarnation != incarnation:
             raise exceptions.ConnectionFailedError("reset", Verdict.MAY_HAVE_RUN)
-        await self.carry_or_hang(daemon.daemon_id, sender)
+        await self.deliver_or_hang(daemon.daemon_id, sender)
         return answer
 
-    def make_refusal(self) -> exceptions.RequestError:
+    def build_refusal_error(self) -> exceptions.RequestError:
         """Return a gate's refusal of a request that it did not run."""
         if self.rng.random() < 0.5:
             return exceptions.LeavingError("the backend server is leaving")
@@ -302,23 +302,23 @@
         :raises ConnectionFailedError: if the backend server crashes meanwhile.
         """
         crashes = self.backend_crashes.get(daemon.daemon_id, 0)
-        for is_done in (False, True):
+        for has_run in (False, True):
             await asyncio.sleep(self.rng.uniform(0.001, 0.02))
             if self.backend_crashes.get(daemon.daemon_id, 0) != crashes:
                 raise exceptions.ConnectionFailedError("crash", Verdict.MAY_HAVE_RUN)
-            if not is_done:
+            if not has_run:
                 now = asyncio.get_running_loop().time()
                 self.history.executions.append(Execution(operation, sending, now))
-        text = make_answer(operation, sending).encode()
-        if self.rng.random() < self.faults.truncation:
-            return Answer(200, (), yield_truncated(text), Verdict.RUN)
+        text = build_answer(operation, sending).encode()
+        if self.rng.random() < self.faults.truncation_probability:
+            return Answer(200, (), yield_truncated_bytes(text), Verdict.RUN)
         return Answer(200, (), yield_bytes(text), Verdict.RUN)
 
     async def close(self) -> None:
         """Stop all tasks."""
         for daemon in self.daemons.values():
             daemon.crash()
-        tasks = [*self.tasks, *self.log.late]
+        tasks = [*self.tasks, *self.log.late_appends]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/benchmarks/histories/history.py
+++ b/benchmarks/histories/history.py
@@ -5,7 +5,7 @@
 import attrs
 
 
-class Kind(enum.Enum):
+class OperationKind(enum.Enum):
     """How a caller protects its request."""
 
     LOOKUP = "lookup"
@@ -16,7 +16,7 @@
     @property
     def keyed(self) -> bool:
         """Return whether resends carry the same key or ticket."""
-        return self in (Kind.KEY, Kind.TICKET)
+        return self in (OperationKind.KEY, OperationKind.TICKET)
 
 
 @attrs.define
@@ -35,7 +35,7 @@
 
     operation: int
     sending: int
-    kind: Kind
+    kind: OperationKind
     started: float
     ended: float | None = None
     status: int | None = None
--- a/benchmarks/histories/network.py
+++ b/benchmarks/histories/network.py
@@ -20,22 +20,22 @@
 class Faults:
     """What goes wrong now.
 
-    :param cuts: pairs of sender and receiver whose messages are lost.
-    :param loss: probability that a message is lost.
-    :param delay_s: longest extra delay of a message.
-    :param truncation: probability that an answer ends early.
-    :param refusal: probability that a gate refuses a request as not run.
-    :param log_away: whether the log service refuses all calls.
-    :param lost_acknowledgments: probability that an append is not acknowledged.
+    :param blocked_links: pairs of sender and receiver whose messages are lost.
+    :param loss_probability: probability that a message is lost.
+    :param max_extra_delay_s: longest extra delay of a message.
+    :param truncation_probability: probability that an answer ends early.
+    :param refusal_probability: probability that a gate refuses a request as not run.
+    :param log_unavailable: whether the log service refuses all calls.
+    :param lost_acknowledgment_probability: probability that an append is not acknowledged.
     """
 
-    cuts: set[tuple[str, str]] = attrs.field(factory=set)
-    loss: float = 0.0
-    delay_s: float = 0.0
-    truncation: float = 0.0
-    refusal: float = 0.0
-    log_away: bool = False
-    lost_acknowledgments: float = 0.0
+    blocked_links: set[tuple[str, str]] = attrs.field(factory=set)
+    loss_probability: float = 0.0
+    max_extra_delay_s: float = 0.0
+    truncation_probability: float = 0.0
+    refusal_probability: float = 0.0
+    log_unavailable: bool = False
+    lost_acknowledgment_probability: float = 0.0
 
 
 class FakeNetwork:
@@ -45,15 +45,15 @@
         self.rng = rng
         self.faults = faults
 
-    async def carry(self, sender: str, receiver: str) -> bool:
+    async def deliver(self, sender: str, receiver: str) -> bool:
         """Carry one message and tell whether it arrives."""
         delay = self.rng.uniform(0.0005, 0.005)
-        if self.faults.delay_s and self.rng.random() < 0.5:
-            delay += self.rng.uniform(0, self.faults.delay_s)
+        if self.faults.max_extra_delay_s and self.rng.random() < 0.5:
+            delay += self.rng.uniform(0, self.faults.max_extra_delay_s)
         await asyncio.sleep(delay)
-        if (sender, receiver) in self.faults.cuts:
+        if (sender, receiver) in self.faults.blocked_links:
             return False
-        return self.rng.random() >= self.faults.loss
+        return self.rng.random() >= self.faults.loss_probability
 
 
 class FakeLog:
@@ -66,35 +66,37 @@
         self.streams: dict[str, list[bytes]] = {}
         self.oldest: dict[str, int] = {}
         self.appends = 0
-        self.late: set[asyncio.Task] = set()
+        self.late_appends: set[asyncio.Task] = set()
 
     async def append(self, daemon: str, stream: str, data: bytes) -> int:
         """Append one record for a daemon."""
         self.appends += 1
         await asyncio.sleep(self.rng.uniform(0.001, 0.01))
-        if self.faults.log_away:
+        if self.faults.log_unavailable:
             raise LogUnavailableError("the log is away")
-        if (daemon, LOG) in self.faults.cuts:
+        if (daemon, LOG) in self.faults.blocked_links:
             await asyncio.sleep(APPEND_TIMEOUT_S)
             raise AppendUnknownError("no acknowledgment")
-        lost = self.rng.random() < self.faults.lost_acknowledgments
-        if lost and self.rng.random() < 0.6:
-            await self.lose(stream, data)
+        is_unacknowledged = (
+            self.rng.random() < self.faults.lost_acknowledgment_probability
+        )
+        if is_unacknowledged and self.rng.random() < 0.6:
+            await self.append_without_acknowledgment(stream, data)
         offset = self.apply(stream, data)
-        if lost or (LOG, daemon) in self.faults.cuts:
+        if is_unacknowledged or (LOG, daemon) in self.faults.blocked_links:
             await asyncio.sleep(APPEND_TIMEOUT_S)
             raise AppendUnknownError("no acknowledgment")
         return offset
 
-    async def lose(self, stream: str, data: bytes) -> None:
+    async def append_without_acknowledgment(self, stream: str, data: bytes) -> None:
         """Let an append apply late, or never, without acknowledgment."""
         if self.rng.random() < 0.5:
-            task = asyncio.create_task(self.apply_late(stream, data))
-            self.late.add(task)
+            task = asyncio.create_task(self.append_late(stream, data))
+            self.late_appends.add(task)
         await asyncio.sleep(APPEND_TIMEOUT_S)
         raise AppendUnknownError("no acknowledgment")
 
-    async def apply_late(self, stream: str, data: bytes) -> None:
+    async def append_late(self, stream: str, data: bytes) -> None:
         """Apply an append after its sender has stopped to wait for it."""
         await asyncio.sleep(self.rng.uniform(0, 4 * APPEND_TIMEOUT_S))
         self.apply(stream, data)
@@ -108,8 +110,8 @@
     async def read(self, daemon: str, stream: str, offset: int) -> LogBatch:
         """Read records for a daemon."""
         await asyncio.sleep(self.rng.uniform(0.001, 0.01))
-        cut = {(daemon, LOG), (LOG, daemon)} & self.faults.cuts
-        if self.faults.log_away or cut:
+        blocked = {(daemon, LOG), (LOG, daemon)} & self.faults.blocked_links
+        if self.faults.log_unavailable or blocked:
             raise LogUnavailableError("the log is away")
         oldest = self.oldest.get(stream, 0)
         if offset < oldest:
--- a/benchmarks/histories/schedule.py
+++ b/benchmarks/histories/schedule.py
@@ -8,48 +8,48 @@
 import detangle
 
 from benchmarks.histories.callers import CALLER, Caller
-from benchmarks.histories.checker import check_history, check_not_stuck
+from benchmarks.histories.checker import check_history, check_keyed_operations_ran
 from benchmarks.histories.fleet import SERVICE, FakeFleet
 from benchmarks.histories.history import RunHistory, Violation
 from benchmarks.histories.network import LOG
 from wagtailstep.models.table import ServiceRow
 
 FLEET_SIZE = 3
-CALLERS = 4
-OPERATIONS = 3
-FAULTS_BEGIN_S = 1.5
+CALLER_COUNT = 4
+OPERATIONS_PER_CALLER = 3
+MAX_FAULT_START_DELAY_S = 1.5
 RECOVERY_S = 8.0
 MAX_STEPS = 2_000_000
 
 Fault = Callable[[FakeFleet, random.Random], Awaitable[None]]
 
 
-async def lose_answers(fleet: FakeFleet, rng: random.Random) -> None:
+async def lose_messages(fleet: FakeFleet, rng: random.Random) -> None:
     """Lose some messages."""
-    fleet.faults.loss = rng.uniform(0.05, 0.4)
+    fleet.faults.loss_probability = rng.uniform(0.05, 0.4)
     await asyncio.sleep(rng.uniform(0.2, 1.0))
-    fleet.faults.loss = 0.0
+    fleet.faults.loss_probability = 0.0
 
 
-async def delay_answers(fleet: FakeFleet, rng: random.Random) -> None:
+async def delay_messages(fleet: FakeFleet, rng: random.Random) -> None:
     """Delay some messages, so that they overtake each other."""
-    fleet.faults.delay_s = rng.uniform(0.2, 1.2)
+    fleet.faults.max_extra_delay_s = rng.uniform(0.2, 1.2)
     await asyncio.sleep(rng.uniform(0.2, 1.0))
-    fleet.faults.delay_s = 0.0
+    fleet.faults.max_extra_delay_s = 0.0
 
 
 async def truncate_answers(fleet: FakeFleet, rng: random.Random) -> None:
     """End some answers early."""
-    fleet.faults.truncation = rng.uniform(0.1, 0.8)
+    fleet.faults.truncation_probability = rng.uniform(0.1, 0.8)
     await asyncio.sleep(rng.uniform(0.2, 1.0))
-    fleet.faults.truncation = 0.0
+    fleet.faults.truncation_probability = 0.0
 
 
 async def refuse_at_gates(fleet: FakeFleet, rng: random.Random) -> None:
     """Refuse some requests at the gates."""
-    fleet.faults.refusal = rng.uniform(0.2, 1.0)
+    fleet.faults.refusal_probability = rng.uniform(0.2, 1.0)
     await asyncio.sleep(rng.uniform(0.2, 1.0))
-    fleet.faults.refusal = 0.0
+    fleet.faults.refusal_probability = 0.0
 
 
 async def crash_daemon(fleet: FakeFleet, rng: random.Random) -> None:
@@ -69,53 +69,53 @@
         await asyncio.sleep(rng.uniform(0.0, 0.2))
 
 
-async def cut_one_way(fleet: FakeFleet, rng: random.Random) -> None:
+async def block_links_one_way(fleet: FakeFleet, rng: random.Random) -> None:
     """Cut some links in one direction."""
     ends = [*fleet.daemons, LOG, CALLER]
-    cuts = [tuple(rng.sample(ends, 2)) for _ in range(rng.randint(1, 3))]
-    fleet.faults.cuts.update(cuts)
+    blocked_links = [tuple(rng.sample(ends, 2)) for _ in range(rng.randint(1, 3))]
+    fleet.faults.blocked_links.update(blocked_links)
     await asyncio.sleep(rng.uniform(0.2, 1.5))
-    fleet.faults.cuts.difference_update(cuts)
+    fleet.faults.blocked_links.difference_update(blocked_links)
 
 
 async def pause_daemon(fleet: FakeFleet, rng: random.Random) -> None:
     """Stop a daemon between any two steps and let it go on later."""
     daemon = rng.choice(list(fleet.daemons.values()))
-    daemon.awake.clear()
+    daemon.not_paused.clear()
     await asyncio.sleep(rng.uniform(0.2, 2.0))
-    daemon.awake.set()
+    daemon.not_paused.set()
 
 
-async def stop_log(fleet: FakeFleet, rng: random.Random) -> None:
+async def make_log_unavailable(fleet: FakeFleet, rng: random.Random) -> None:
     """Take the log service away."""
-    fleet.faults.log_away = True
+    fleet.faults.log_unavailable = True
     await asyncio.sleep(rng.uniform(0.2, 2.0))
-    fleet.faults.log_away = False
+    fleet.faults.log_unavailable = False
 
 
 async def lose_acknowledgments(fleet: FakeFleet, rng: random.Random) -> None:
     """Leave appends unacknowledged: applied, applied late or not at all."""
-    fleet.faults.lost_acknowledgments = rng.uniform(0.3, 1.0)
+    fleet.faults.lost_acknowledgment_probability = rng.uniform(0.3, 1.0)
     await asyncio.sleep(rng.uniform(0.2, 1.5))
-    fleet.faults.lost_acknowledgments = 0.0
+    fleet.faults.lost_acknowledgment_probability = 0.0
 
 
 FAULTS: dict[str, Fault] = {
-    "lost-answers": lose_answers,
-    "late-answers": delay_answers,
+    "lost-answers": lose_messages,
+    "late-answers": delay_messages,
     "truncated-answers": truncate_answers,
     "refusals": refuse_at_gates,
     "daemon-crash": crash_daemon,
     "backend-server-crash": crash_backend_servers,
-    "one-way-cut": cut_one_way,
+    "one-way-cut": block_links_one_way,
     "pause": pause_daemon,
-    "log-away": stop_log,
+    "log-away": make_log_unavailable,
     "lost-acknowledgments": lose_acknowledgments,
 }
 
 
 # These leave no doubt about a run, so that no key may stay held without one.
-HARMLESS_FAULTS = frozenset({"refusals", "log-away", "lost-acknowledgments"})
+CERTAIN_OUTCOME_FAULTS = frozenset({"refusals", "log-away", "lost-acknowledgments"})
 
 
 @attrs.define
@@ -148,33 +148,35 @@
     async def run() -> FakeFleet:
         rows = {SERVICE: ServiceRow(SERVICE)}
         fleet = FakeFleet(seed, FLEET_SIZE, rows)
-        await drive(fleet, faults, rng)
+        await run_callers_and_faults(fleet, faults, rng)
         return fleet
 
     fleet = detangle.run(run, seed=seed, max_steps=MAX_STEPS, fail_on_unobserved=False)
     violations = check_history(fleet.history)
-    if HARMLESS_FAULTS.issuperset(faults):
-        violations += check_not_stuck(fleet.history)
+    if CERTAIN_OUTCOME_FAULTS.issuperset(faults):
+        violations += check_keyed_operations_ran(fleet.history)
     return RunResult(seed, faults, fleet.history, violations, fleet.log.appends)
 
 
-async def drive(fleet: FakeFleet, faults: tuple[str, ...], rng: random.Random) -> None:
+async def run_callers_and_faults(
+    fleet: FakeFleet, faults: tuple[str, ...], rng: random.Random
+) -> None:
     """Run callers and faults beside each other, and stop."""
     for daemon in fleet.daemons.values():
         await daemon.boot()
-    callers = [Caller(number, fleet) for number in range(1, CALLERS + 1)]
-    working = [caller.run(OPERATIONS) for caller in callers]
-    running = [begin_fault(fleet, name, rng) for name in faults]
-    await asyncio.gather(*working, *running)
-    if HARMLESS_FAULTS.issuperset(faults):
+    callers = [Caller(number, fleet) for number in range(1, CALLER_COUNT + 1)]
+    caller_runs = [caller.run(OPERATIONS_PER_CALLER) for caller in callers]
+    fault_runs = [run_fault_twice(fleet, name, rng) for name in faults]
+    await asyncio.gather(*caller_runs, *fault_runs)
+    if CERTAIN_OUTCOME_FAULTS.issuperset(faults):
         await asyncio.sleep(RECOVERY_S)
         for caller in callers:
-            await caller.send_once_more()
+            await caller.resend_unexecuted_operations()
     await fleet.close()
 
 
-async def begin_fault(fleet: FakeFleet, name: str, rng: random.Random) -> None:
+async def run_fault_twice(fleet: FakeFleet, name: str, rng: random.Random) -> None:
     """Start a fault at a random time, some times over."""
     for _ in range(2):
-        await asyncio.sleep(rng.uniform(0, FAULTS_BEGIN_S))
+        await asyncio.sleep(rng.uniform(0, MAX_FAULT_START_DELAY_S))
         await FAULTS[name](fleet, rng)
--- a/benchmarks/platform_soak.py
+++ b/benchmarks/platform_soak.py
@@ -19,36 +19,36 @@
 import detangle
 import fire
 
-from benchmarks.soak.callers import Callers, Told, start_callers
+from benchmarks.soak.callers import CallerGroup, RequestOutcome, start_callers
 from benchmarks.soak.fleet import Host, SoakFleet
 from wagtailstep.fakes.faults import Faults
 
-HOSTS = 6
+HOST_COUNT = 6
 RATE_PER_S = 40.0
-CALM_S = 6.0
-TROUBLED_S = 34.0
+WARMUP_S = 6.0
+FAULT_PHASE_S = 34.0
 # The platform's bound for being back.
-RECOVER_S = 15.0
-LAST_S = 5.0
-LEAST_SERVED_AT_END = 0.95
+RECOVERY_S = 15.0
+FINAL_PHASE_S = 5.0
+MIN_FINAL_SERVED_RATIO = 0.95
 # Later than this after its last byte a request can't have crossed a close.
-LOST_TIME_S = 0.2
-REFUSALS = (408, 421, 429, 503)
-STEPS = 6_000_000
+MAX_CROSSED_CLOSE_S = 0.2
+REFUSAL_STATUSES = (408, 421, 429, 503)
+MAX_STEPS = 6_000_000
 
 
 @attrs.define
 class SoakResult:
     """How one run ended.
 
-    :param troubles: kinds of trouble that were played.
-    :param told: what callers were told.
+    :param fault_names: kinds of trouble that were played.
+    :param outcomes: what callers were told.
     :param violations: broken promises.
     """
 
     seed: int
-    troubles: tuple[str, ...]
-    told: list[Told] = attrs.field(factory=list)
+    fault_names: tuple[str, ...]
+    outcomes: list[RequestOutcome] = attrs.field(factory=list)
     violations: list[str] = attrs.field(factory=list)
 
 
@@ -64,9 +64,9 @@
     await fleet.restart_daemon(host)
 
 
-async def cut_off(fleet: SoakFleet, host: Host, rng: random.Random) -> None:
+async def partition_host(fleet: SoakFleet, host: Host, rng: random.Random) -> None:
     """Cut a host off from the others for a while."""
-    fleet.cut_off(host)
+    fleet.partition(host)
     await asyncio.sleep(rng.uniform(1.0, 5.0))
     fleet.heal()
 
@@ -76,7 +76,7 @@
     fleet.publish()
 
 
-async def lose_store(fleet: SoakFleet, host: Host, rng: random.Random) -> None:
+async def disrupt_store(fleet: SoakFleet, host: Host, rng: random.Random) -> None:
     """Have the store refuse, say nothing, or lose answers for a while."""
     faults = fleet.store.faults
     fault = rng.choice(("status", "silent", "lost_answers"))
@@ -85,117 +85,128 @@
     faults.status, faults.silent, faults.lost_answers = 0, False, 0
 
 
-def make_gray(**faults: float) -> Callable[..., Awaitable[None]]:
+def create_gray_failure(**faults: float) -> Callable[..., Awaitable[None]]:
     """Return the trouble of a backend server with faults for a while."""
 
-    async def be_gray(fleet: SoakFleet, host: Host, rng: random.Random) -> None:
+    async def run_gray_failure(
+        fleet: SoakFleet, host: Host, rng: random.Random
+    ) -> None:
         fleet.set_faults(host, Faults(**faults))
         await asyncio.sleep(rng.uniform(2.0, 6.0))
         fleet.set_faults(host, Faults())
 
-    return be_gray
+    return run_gray_failure
 
 
-TROUBLES: dict[str, Callable[..., Awaitable[None]]] = {
+FAULTS: dict[str, Callable[..., Awaitable[None]]] = {
     "power": lose_power,
     "restart": restart,
-    "cut": cut_off,
+    "cut": partition_host,
     "table": change_table,
-    "store": lose_store,
-    "fail": make_gray(fail_share=0.6),
-    "hang": make_gray(hang_share=0.5),
-    "lose": make_gray(lose_share=0.4),
-    "truncate": make_gray(truncate_share=0.4),
-    "slow": make_gray(slow_factor=6.0),
+    "store": disrupt_store,
+    "fail": create_gray_failure(fail_share=0.6),
+    "hang": create_gray_failure(hang_share=0.5),
+    "lose": create_gray_failure(lose_share=0.4),
+    "truncate": create_gray_failure(truncate_share=0.4),
+    "slow": create_gray_failure(slow_factor=6.0),
 }
 
 
-PLANNED = frozenset({"restart", "table"})
+PLANNED_OPERATIONS = frozenset({"restart", "table"})
 
 
-async def trouble(
-    kind: str, fleet: SoakFleet, rng: random.Random, ends_at: float
+async def inject_faults(
+    fault_name: str, fleet: SoakFleet, rng: random.Random, ends_at: float
 ) -> None:
     """Play one kind of trouble at random hosts until a time."""
     loop = asyncio.get_running_loop()
     while loop.time() < ends_at:
         await asyncio.sleep(rng.uniform(0.5, 3.0))
         running = [host for host in fleet.hosts if host.daemon is not None]
-        if len(running) > HOSTS // 2:
-            await TROUBLES[kind](fleet, rng.choice(running), rng)
+        if len(running) > HOST_COUNT // 2:
+            await FAULTS[fault_name](fleet, rng.choice(running), rng)
 
 
-def play(seed: int, kinds: tuple[str, ...] = ()) -> SoakResult:
+def run_soak(seed: int, fault_names: tuple[str, ...] = ()) -> SoakResult:
     """Play one run and check it.
 
-    :param kinds: the kinds of trouble; none draws two.
+    :param fault_names: the kinds of trouble; none draws two.
     """
     rng = random.Random(seed)
-    kinds = kinds or tuple(sorted(rng.sample(sorted(TROUBLES), 2)))
-    result = SoakResult(seed, kinds)
+    fault_names = fault_names or tuple(sorted(rng.sample(sorted(FAULTS), 2)))
+    result = SoakResult(seed, fault_names)
 
     async def main() -> None:
-        fleet = SoakFleet(HOSTS, random.Random(rng.random()))
+        fleet = SoakFleet(HOST_COUNT, random.Random(rng.random()))
         await fleet.start()
-        await asyncio.sleep(CALM_S)
-        callers = Callers(fleet, RATE_PER_S, random.Random(rng.random()))
-        calling = start_callers(callers)
+        await asyncio.sleep(WARMUP_S)
+        callers = CallerGroup(fleet, RATE_PER_S, random.Random(rng.random()))
+        calls = start_callers(callers)
         loop = asyncio.get_running_loop()
-        ends_at = loop.time() + TROUBLED_S
+        ends_at = loop.time() + FAULT_PHASE_S
         await asyncio.gather(
             *(
-                trouble(kind, fleet, random.Random(rng.random()), ends_at)
-                for kind in kinds
+                inject_faults(fault_name, fleet, random.Random(rng.random()), ends_at)
+                for fault_name in fault_names
             )
         )
-        last_from = loop.time() + RECOVER_S
-        callers.stop_at = last_from + LAST_S
-        await calling
+        final_phase_start = loop.time() + RECOVERY_S
+        callers.stop_at = final_phase_start + FINAL_PHASE_S
+        await calls
         # What was refused as not run must not run later either.
-        await asyncio.sleep(RECOVER_S)
-        result.told = callers.told
+        await asyncio.sleep(RECOVERY_S)
+        result.outcomes = callers.outcomes
         runs = fleet.count_runs()
-        result.violations = check(callers.told, runs, last_from)
-        if PLANNED.issuperset(kinds):
-            result.violations += check_planned(callers.told, runs)
+        result.violations = find_violations(callers.outcomes, runs, final_phase_start)
+        if PLANNED_OPERATIONS.issuperset(fault_names):
+            result.violations += find_interrupted_requests(callers.outcomes, runs)
 
-    detangle.run(main, seed=seed, max_steps=STEPS, max_time=600.0)
+    detangle.run(main, seed=seed, max_steps=MAX_STEPS, max_time=600.0)
     return result
 
 
-def check(
-    told: list[Told], runs: "collections.Counter[str]", last_from: float
+def find_violations(
+    outcomes: list[RequestOutcome],
+    runs: "collections.Counter[str]",
+    final_phase_start: float,
 ) -> list[str]:
     """Return the broken promises.
 
     :param runs: how often each request began to run.
-    :param last_from: from when on requests must be served again.
+    :param final_phase_start: from when on requests must be served again.
     """
-    broken = []
-    for each in told:
-        if each.unsafe and runs[each.key] > 1:
-            broken.append(f"{each.key} ran {runs[each.key]} times")
-        if each.unsafe and each.status in REFUSALS and runs[each.key]:
-            broken.append(f"{each.key} ran and was refused with {each.status}")
-        if each.status == 200 and not each.is_own:
-            broken.append(f"{each.key} got another answer than its own")
-    last = [each for each in told if each.at_s >= last_from]
-    served = sum(each.status == 200 for each in last)
-    if served < LEAST_SERVED_AT_END * len(last):
-        broken.append(f"only {served} of {len(last)} served at the end")
-    return broken
-
-
-def check_planned(told: list[Told], runs: "collections.Counter[str]") -> list[str]:
+    violations = []
+    for outcome in outcomes:
+        if outcome.unsafe and runs[outcome.key] > 1:
+            violations.append(f"{outcome.key} ran {runs[outcome.key]} times")
+        if outcome.unsafe and outcome.status in REFUSAL_STATUSES and runs[outcome.key]:
+            violations.append(
+                f"{outcome.key} ran and was refused with {outcome.status}"
+            )
+        if outcome.status == 200 and not outcome.is_expected_answer:
+            violations.append(f"{outcome.key} got another answer than its own")
+    final_outcomes = [
+        outcome for outcome in outcomes if outcome.at_s >= final_phase_start
+    ]
+    served = sum(outcome.status == 200 for outcome in final_outcomes)
+    if served < MIN_FINAL_SERVED_RATIO * len(final_outcomes):
+        violations.append(f"only {served} of {len(final_outcomes)} served at the end")
+    return violations
+
+
+def find_interrupted_requests(
+    outcomes: list[RequestOutcome], runs: "collections.Counter[str]"
+) -> list[str]:
     """Return the requests that were cut although all trouble was planned.
 
     A request that crosses the close of a kept connection and is not passed on is not
     one of them: neither end can prevent that in HTTP/1.1, and its end is seen at once.
     """
     return [
-        f"planned work cut {each.key}"
-        for each in told
-        if each.cut and (runs[each.key] or each.took_s > LOST_TIME_S)
+        f"planned work cut {outcome.key}"
+        for outcome in outcomes
+        if outcome.interrupted
+        and (runs[outcome.key] or outcome.took_s > MAX_CROSSED_CLOSE_S)
     ]
 
 
@@ -208,10 +219,10 @@
     logging.disable(logging.CRITICAL)
     violations = 0
     for index in range(runs):
-        result = play(seed * 1_000_000 + index)
-        statuses = collections.Counter(each.status for each in result.told)
+        result = run_soak(seed * 1_000_000 + index)
+        statuses = collections.Counter(outcome.status for outcome in result.outcomes)
         counted = " ".join(f"{status}={n}" for status, n in sorted(statuses.items()))
-        print(f"seed={result.seed} troubles={'+'.join(result.troubles)} {counted}")
+        print(f"seed={result.seed} troubles={'+'.join(result.fault_names)} {counted}")
         for violation in result.violations:
             print(f"  broken: {violation}", flush=True)
         violations += len(result.violations)
--- a/benchmarks/soak/callers.py
+++ b/benchmarks/soak/callers.py
@@ -20,18 +20,18 @@
 
 TIMEOUT_MS = 5_000
 WORK_MS = 100
-UNSAFE_SHARE = 0.5
+UNSAFE_FRACTION = 0.5
 NO_ANSWER = 0
 
 
 @attrs.frozen
-class Told:
+class RequestOutcome:
     """What a caller was told of one request.
 
     :param at_s: when it was sent, in seconds since the loop began.
     :param status: HTTP status; 0 if there was no whole answer.
-    :param is_own: whether the body is the answer to this request.
-    :param cut: whether the exchange ended after the request was sent.
+    :param is_expected_answer: whether the body is the answer to this request.
+    :param interrupted: whether the exchange ended after the request was sent.
     :param took_s: seconds until its end.
     """
 
@@ -39,12 +39,12 @@
     unsafe: bool
     at_s: float
     status: int
-    is_own: bool
-    cut: bool = False
+    is_expected_answer: bool
+    interrupted: bool = False
     took_s: float = 0.0
 
 
-class Callers:
+class CallerGroup:
     """Send requests to daemons at random.
 
     :param fleet: whose daemons are asked.
@@ -56,8 +56,8 @@
         self.fleet = fleet
         self.rate_per_s = rate_per_s
         self.rng = rng
-        self.asked = 0
-        self.told: list[Told] = []
+        self.sent_count = 0
+        self.outcomes: list[RequestOutcome] = []
         # Time of the loop.
         self.stop_at = math.inf
 
@@ -69,11 +69,13 @@
             while loop.time() < self.stop_at:
                 await asyncio.sleep(self.rng.expovariate(self.rate_per_s))
                 host = self.rng.choice(self.fleet.hosts).name
-                unsafe = self.rng.random() < UNSAFE_SHARE
-                self.asked += 1
-                group.create_task(self.ask(f"k{self.asked}", host, unsafe))
+                unsafe = self.rng.random() < UNSAFE_FRACTION
+                self.sent_count += 1
+                group.create_task(
+                    self.send_request(f"k{self.sent_count}", host, unsafe)
+                )
 
-    async def ask(self, key: str, host: str, unsafe: bool) -> None:
+    async def send_request(self, key: str, host: str, unsafe: bool) -> None:
         """Send one request and note what its caller is told."""
         loop = asyncio.get_running_loop()
         at_s = loop.time()
@@ -92,17 +94,21 @@
             idempotent=not unsafe,
             time_left=timedelta(milliseconds=TIMEOUT_MS + 500),
         )
-        status, is_own, cut = NO_ANSWER, True, False
+        status, is_expected_answer, interrupted = NO_ANSWER, True, False
         try:
             answer = await self.client.send(request)
             data = await read_whole(answer)
-            status, is_own = answer.status, data == f"{key}\n".encode()
+            status, is_expected_answer = answer.status, data == f"{key}\n".encode()
         except RequestError as error:
-            cut = error.verdict is not Verdict.NOT_RUN
+            interrupted = error.verdict is not Verdict.NOT_RUN
         took_s = loop.time() - at_s
-        self.told.append(Told(key, unsafe, at_s, status, is_own, cut, took_s))
+        self.outcomes.append(
+            RequestOutcome(
+                key, unsafe, at_s, status, is_expected_answer, interrupted, took_s
+            )
+        )
 
 
-def start_callers(callers: Callers) -> "asyncio.Task[None]":
+def start_callers(callers: CallerGroup) -> "asyncio.Task[None]":
     """Run the callers on a host of their own."""
     return detangle.spawn(callers.run(), host="callers")
--- a/benchmarks/soak/fleet.py
+++ b/benchmarks/soak/fleet.py
@@ -31,14 +31,14 @@
 SERVICE = "contracts"
 ROUTE_HOST = "book.example"
 ZONES = ("bole", "piassa", "kirkos")
-BEAT_S = 1.5
-BEAT_TIMEOUT = timedelta(seconds=1)
-NOTICE_MS = 1_000
+HEARTBEAT_INTERVAL_S = 1.5
+HEARTBEAT_TIMEOUT = timedelta(seconds=1)
+SHUTDOWN_NOTICE_MS = 1_000
 SHUTDOWN_MS = 4_000
-MAX_STARTS = 1_000
+MAX_STARTS_PER_HOST = 1_000
 
 
-def make_configuration(version: int) -> bytes:
+def build_configuration(version: int) -> bytes:
     """Return the operator's record of a version."""
     columns = "name host path-prefix kind timeout aim priority service max-attempts"
     rows = [
@@ -128,7 +128,7 @@
     def publish(self) -> None:
         """Write the next version of the configuration."""
         self.version += 1
-        record = make_configuration(self.version)
+        record = build_configuration(self.version)
         self.store.put("keyed.op", "config", record)
 
     def power_on(self, host: Host) -> None:
@@ -150,7 +150,7 @@
     async def run_daemon(self, host: Host) -> None:
         """Run a daemon until its host loses power."""
         host.starts += 1
-        host.daemon = SoakDaemon(make_settings(host), self.network)
+        host.daemon = SoakDaemon(build_settings(host), self.network)
         await host.daemon.start()
 
     async def restart_daemon(self, host: Host) -> None:
@@ -182,14 +182,14 @@
         sequence = 0
         while True:
             sequence += 1
-            await self.beat(client, host, born, sequence)
-            await asyncio.sleep(BEAT_S)
+            await self.send_heartbeat(client, host, born, sequence)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    async def beat(
+    async def send_heartbeat(
         self, client: HttpClient, host: Host, born: int, sequence: int
     ) -> None:
         """Send one heartbeat."""
-        beat = {
+        heartbeat = {
             "service": SERVICE,
             "address": f"{host.name}:9000",
             "slots": 4,
@@ -197,7 +197,7 @@
             "sequence": sequence,
             "born": born,
         }
-        data = msgspec.json.encode(beat)
+        data = msgspec.json.encode(heartbeat)
         request = HttpRequest(
             address=f"{host.name}:8004",
             method="PUT",
@@ -205,7 +205,7 @@
             headers=(("host", host.name), ("content-length", str(len(data)))),
             body=yield_body(data),
             idempotent=True,
-            time_left=BEAT_TIMEOUT,
+            time_left=HEARTBEAT_TIMEOUT,
         )
         try:
             await read_whole(await client.send(request))
@@ -218,7 +218,7 @@
         if host.backend is not None:
             host.backend.faults = faults
 
-    def cut_off(self, host: Host) -> None:
+    def partition(self, host: Host) -> None:
         """Cut a host off from all other hosts, but not from callers and the store."""
         for other in self.hosts:
             if other is not host:
@@ -239,7 +239,7 @@
         return runs
 
 
-def make_settings(host: Host) -> PlatformSettings:
+def build_settings(host: Host) -> PlatformSettings:
     """Return the settings of a host's daemon, as the platform would render them."""
     name = host.name
     daemon = DaemonSettings(
@@ -251,9 +251,9 @@
         announce_address=f"{name}:8004",
         service=SERVICE,
         # Identifiers of requests are drawn from it, so no two daemons may share one.
-        seed=host.number * MAX_STARTS + host.starts,
+        seed=host.number * MAX_STARTS_PER_HOST + host.starts,
         shutdown_ms=SHUTDOWN_MS,
-        shutdown_notice_ms=NOTICE_MS,
+        shutdown_notice_ms=SHUTDOWN_NOTICE_MS,
         requests=RequestSettings(
             trust_slots=True,
             connect_timeout_ms=300,
--- a/examples/demo_fleet.py
+++ b/examples/demo_fleet.py
@@ -18,7 +18,7 @@
     MembershipSettings,
 )
 
-SEED_COUNT = 3
+MEMBERSHIP_SEED_COUNT = 3
 
 
 @attrs.frozen
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen
-class Place:
+class Instance:
     """One instance: a backend server and the daemon beside it.
 
     :param service: service of the backend server.
@@ -65,12 +65,12 @@
 
     :param user: whose fleet it is.
     :param log_address: ``host:port`` of its log-service stand-in.
-    :param places: its instances.
+    :param instances: its instances.
     """
 
     user: User
     log_address: str
-    places: tuple[Place, ...]
+    instances: tuple[Instance, ...]
 
 
 def plan_fleet(user: User, ports: PortPicker, seed: int) -> Fleet:
@@ -78,10 +78,10 @@
     log_address = ports.pick()
     count = sum(user.services.values())
     peers = [ports.pick() for _ in range(count)]
-    places = []
+    instances = []
     for service, size in user.services.items():
         for number in range(1, size + 1):
-            index = len(places)
+            index = len(instances)
             settings = DaemonSettings(
                 daemon_id=f"{service}-{number}",
                 availability_zone=user.zones[index % len(user.zones)],
@@ -90,14 +90,16 @@
                 peer_address=peers[index],
                 announce_address=ports.pick(),
                 seed=seed * 1_000 + index,
-                membership=MembershipSettings(seeds=tuple(peers[:SEED_COUNT])),
+                membership=MembershipSettings(
+                    seeds=tuple(peers[:MEMBERSHIP_SEED_COUNT])
+                ),
                 log=LogSettings(address=log_address),
             )
-            places.append(Place(service, ports.pick(), settings))
-    return Fleet(user, log_address, tuple(places))
+            instances.append(Instance(service, ports.pick(), settings))
+    return Fleet(user, log_address, tuple(instances))
 
 
-def plan_all(seed: int) -> list[Fleet]:
+def plan_fleets(seed: int) -> list[Fleet]:
     """Plan the fleets of all users on free ports."""
     ports = PortPicker()
     fleets = [plan_fleet(user, ports, seed) for user in USERS]
@@ -105,12 +107,12 @@
     return fleets
 
 
-def make_backend_settings(place: Place, index: int) -> BackendServerSettings:
+def build_backend_settings(instance: Instance, index: int) -> BackendServerSettings:
     """Return the settings of the backend server stand-in of an instance."""
     return BackendServerSettings(
-        service=place.service,
-        address=place.backend_address,
-        announce_address=place.settings.announce_address,
+        service=instance.service,
+        address=instance.backend_address,
+        announce_address=instance.settings.announce_address,
         seed=index,
     )
 
@@ -119,17 +121,17 @@
     """Write settings files, the process lists for the shell and the plan as JSON."""
     folder.mkdir(parents=True, exist_ok=True)
     for fleet in fleets:
-        for place in fleet.places:
-            path = folder / f"{place.settings.daemon_id}.json"
-            path.write_text(json.dumps(attrs.asdict(place.settings), indent=1))
+        for instance in fleet.instances:
+            path = folder / f"{instance.settings.daemon_id}.json"
+            path.write_text(json.dumps(attrs.asdict(instance.settings), indent=1))
     logs = [fleet.log_address for fleet in fleets]
     (folder / "logs").write_text("\n".join(logs) + "\n")
-    daemons = [p.settings.daemon_id for f in fleets for p in f.places]
+    daemons = [p.settings.daemon_id for f in fleets for p in f.instances]
     (folder / "daemons").write_text("\n".join(daemons) + "\n")
     for fleet in fleets:
         servers = [
-            attrs.asdict(make_backend_settings(place, index))
-            for index, place in enumerate(fleet.places)
+            attrs.asdict(build_backend_settings(instance, index))
+            for index, instance in enumerate(fleet.instances)
         ]
         path = folder / f"{fleet.user.name}.backends.json"
         path.write_text(json.dumps(servers, indent=1))
@@ -138,4 +140,4 @@
 
 
 if __name__ == "__main__":
-    write_plan(plan_all(int(sys.argv[1])), pathlib.Path(sys.argv[2]))
+    write_plan(plan_fleets(int(sys.argv[1])), pathlib.Path(sys.argv[2]))
--- a/examples/demo_traffic.py
+++ b/examples/demo_traffic.py
@@ -19,14 +19,14 @@
 from wagtailstep.utils.clock import LoopClock
 
 TIMEOUT = timedelta(seconds=8)
-MAX_ENTRIES_TRIED = 3
+MAX_DAEMONS_TRIED = 3
 UPLOAD_BYTES = 262_144
 CHUNK_BYTES = 16_384
 MAX_ANSWERED_STATUS = 499
 
 
 @attrs.frozen
-class Told:
+class SendOutcome:
     """What a caller was told about one sending of a request.
 
     :param key: what the caller calls the request.
@@ -44,7 +44,7 @@
 
 
 @attrs.define
-class Tally:
+class CallerCounts:
     """What the callers counted.
 
     :param requests: requests that callers made.
@@ -52,9 +52,9 @@
     :param refused: those that ended with an answer of a daemon, by its reason.
     :param wrong_answers: answers that belong to another request or are not whole
         and were given as whole.
-    :param cut: requests whose connection broke after they were sent.
-    :param cut_reasons: what became of each of them, for whoever looks for the cause.
-    :param told: what callers were told about each non-idempotent sending.
+    :param interrupted: requests whose connection broke after they were sent.
+    :param interruption_details: what became of each of them, for whoever looks for the cause.
+    :param outcomes: what callers were told about each non-idempotent sending.
     :param non_idempotent: keys of all non-idempotent requests.
     :param fleet_ms: times of lookups through the fleet.
     :param direct_ms: times of lookups sent straight to a backend server.
@@ -64,21 +64,21 @@
     answered: int = 0
     refused: dict[str, int] = attrs.field(factory=dict)
     wrong_answers: int = 0
-    cut: int = 0
-    cut_reasons: list[str] = attrs.field(factory=list)
-    told: list[Told] = attrs.field(factory=list)
+    interrupted: int = 0
+    interruption_details: list[str] = attrs.field(factory=list)
+    outcomes: list[SendOutcome] = attrs.field(factory=list)
     non_idempotent: set[str] = attrs.field(factory=set)
     fleet_ms: list[float] = attrs.field(factory=list)
     direct_ms: list[float] = attrs.field(factory=list)
 
-    def note_cut(self, entry: str, error: RequestError) -> None:
+    def record_interrupted(self, entry: str, error: RequestError) -> None:
         """Count a request that broke off at a daemon."""
-        self.cut += 1
-        self.cut_reasons.append(f"{entry}: {error.reason}: {error}")
+        self.interrupted += 1
+        self.interruption_details.append(f"{entry}: {error.reason}: {error}")
 
 
 @attrs.frozen
-class Sending:
+class CallerRequest:
     """One request of a caller.
 
     :param key: what the caller calls the request; the answer must repeat it.
@@ -95,7 +95,7 @@
     headers: tuple[tuple[str, str], ...] = ()
 
 
-class Callers:
+class CallerGroup:
     """Send requests for one service through several daemons.
 
     :param service: name of the service.
@@ -112,7 +112,7 @@
         self.backends = backends
         self.rng = random.Random(f"{seed}/{service}")
         self.client = HttpClient(RequestSettings(), LoopClock())
-        self.tally = Tally()
+        self.counts = CallerCounts()
         self.serial = 0
 
     async def run(self, rate: float, stop: asyncio.Event) -> None:
@@ -124,166 +124,187 @@
         next_at = loop.time()
         async with asyncio.TaskGroup() as group:
             while not stop.is_set():
-                group.create_task(self.send_one())
+                group.create_task(self.send_random_request())
                 next_at += self.rng.expovariate(rate)
                 await asyncio.sleep(max(0.0, next_at - loop.time()))
 
-    async def send_one(self) -> None:
+    async def send_random_request(self) -> None:
         """Send one request of a random kind."""
-        kinds = (self.look_up, self.upload, self.sign_with_ticket, self.sign_with_key)
+        kinds = (
+            self.send_lookup,
+            self.send_upload,
+            self.sign_with_ticket,
+            self.sign_with_key,
+        )
         kind = self.rng.choices(kinds, weights=(70, 10, 10, 10))[0]
         await kind()
 
-    def make_key(self) -> str:
+    def create_key(self) -> str:
         """Return a name for the next request."""
         self.serial += 1
         return f"{self.service}-{self.serial}"
 
-    async def look_up(self) -> None:
+    async def send_lookup(self) -> None:
         """Send an idempotent lookup, and one past the fleet for comparison."""
-        sending = Sending(self.make_key(), "GET", "/lookup/today")
+        caller_request = CallerRequest(self.create_key(), "GET", "/lookup/today")
         loop = asyncio.get_running_loop()
         started = loop.time()
-        if await self.send(sending):
-            self.tally.fleet_ms.append((loop.time() - started) * 1_000)
+        if await self.send(caller_request):
+            self.counts.fleet_ms.append((loop.time() - started) * 1_000)
         if self.rng.random() < 0.5:
-            await self.look_up_directly()
+            await self.send_direct_lookup()
 
-    async def look_up_directly(self) -> None:
+    async def send_direct_lookup(self) -> None:
         """Send a lookup straight to a backend server."""
-        sending = Sending(self.make_key(), "GET", "/lookup/today")
+        caller_request = CallerRequest(self.create_key(), "GET", "/lookup/today")
         loop = asyncio.get_running_loop()
         started = loop.time()
         address = self.rng.choice(self.backends)
         try:
-            answer = await self.client.send(self.make_request(sending, address))
+            answer = await self.client.send(self.build_request(caller_request, address))
             await read_whole(answer)
         except RequestError:
             return
         if answer.status <= MAX_ANSWERED_STATUS:
-            self.tally.direct_ms.append((loop.time() - started) * 1_000)
+            self.counts.direct_ms.append((loop.time() - started) * 1_000)
 
-    async def upload(self) -> None:
+    async def send_upload(self) -> None:
         """Send an idempotent upload."""
         size = self.rng.randrange(1, UPLOAD_BYTES)
         await self.send(
-            Sending(self.make_key(), "PUT", "/upload/rider", self.rng.randbytes(size))
+            CallerRequest(
+                self.create_key(), "PUT", "/upload/rider", self.rng.randbytes(size)
+            )
         )
 
     async def sign_with_ticket(self) -> None:
         """Send a non-idempotent request under a ticket, sometimes twice."""
         entry = self.rng.choice(self.entries)
-        request = self.make_request(
-            Sending("", "POST", f"/.wagtailstep/tickets/{self.service}"), entry
+        request = self.build_request(
+            CallerRequest("", "POST", f"/.wagtailstep/tickets/{self.service}"), entry
         )
         try:
             answer = await self.client.send(request)
             ticket = (await read_whole(answer)).decode().split('"')[3]
         except (RequestError, IndexError):
             return
-        await self.sign(ticket)
+        await self.send_signing_request(ticket)
 
     async def sign_with_key(self) -> None:
         """Send a non-idempotent request under a key of its own, sometimes twice."""
-        await self.sign(f"key-{self.service}-{self.rng.getrandbits(64):x}")
+        await self.send_signing_request(
+            f"key-{self.service}-{self.rng.getrandbits(64):x}"
+        )
 
-    async def sign(self, idempotency_key: str) -> None:
+    async def send_signing_request(self, idempotency_key: str) -> None:
         """Send a non-idempotent request; three in ten are sent again elsewhere."""
-        key = self.make_key()
-        self.tally.non_idempotent.add(key)
+        key = self.create_key()
+        self.counts.non_idempotent.add(key)
         headers = (("idempotency-key", idempotency_key),)
-        sending = Sending(key, "POST", "/sign/deposit", b"amount=100", headers)
+        caller_request = CallerRequest(
+            key, "POST", "/sign/deposit", b"amount=100", headers
+        )
         times = 2 if self.rng.random() < 0.3 else 1
-        await asyncio.gather(*(self.send(sending) for _ in range(times)))
+        await asyncio.gather(*(self.send(caller_request) for _ in range(times)))
 
-    async def send(self, sending: Sending) -> bool:
+    async def send(self, caller_request: CallerRequest) -> bool:
         """Send a request through a daemon; another one if it took no connection.
 
         :return: whether a backend server answered it.
         """
-        self.tally.requests += 1
+        self.counts.requests += 1
         started = asyncio.get_running_loop().time()
-        for entry in self.rng.sample(self.entries, MAX_ENTRIES_TRIED):
-            request = self.make_request(sending, entry)
+        for entry in self.rng.sample(self.entries, MAX_DAEMONS_TRIED):
+            request = self.build_request(caller_request, entry)
             try:
                 answer = await self.client.send(request)
                 body = await read_whole(answer)
             except TruncatedAnswerError as error:
                 # A broken transfer is a true outcome, but not in a planned change.
-                self.tally.note_cut(entry, error)
+                self.counts.record_interrupted(entry, error)
                 return False
             except RequestError as error:
                 if error.verdict is Verdict.NOT_RUN:
                     continue
-                self.tally.note_cut(entry, error)
+                self.counts.record_interrupted(entry, error)
                 return False
             ended = asyncio.get_running_loop().time()
-            self.note_told(sending, answer, started, ended)
-            return self.judge(sending, answer, body)
-        self.tally.refused["no-daemon"] = self.tally.refused.get("no-daemon", 0) + 1
+            self.record_outcome(caller_request, answer, started, ended)
+            return self.record_answer(caller_request, answer, body)
+        self.counts.refused["no-daemon"] = self.counts.refused.get("no-daemon", 0) + 1
         return False
 
-    def note_told(
-        self, sending: Sending, answer: Answer, started_s: float, ended_s: float
+    def record_outcome(
+        self,
+        caller_request: CallerRequest,
+        answer: Answer,
+        started_s: float,
+        ended_s: float,
     ) -> None:
         """Remember what was told about a non-idempotent sending."""
-        if sending.method != "POST":
+        if caller_request.method != "POST":
             return
         verdict = find_header(answer.headers, "wagtailstep-verdict") or ""
         reason = find_header(answer.headers, "wagtailstep-reason") or ""
-        self.tally.told.append(Told(sending.key, verdict, reason, started_s, ended_s))
+        self.counts.outcomes.append(
+            SendOutcome(caller_request.key, verdict, reason, started_s, ended_s)
+        )
 
-    def judge(self, sending: Sending, answer: Answer, body: bytes) -> bool:
+    def record_answer(
+        self, caller_request: CallerRequest, answer: Answer, body: bytes
+    ) -> bool:
         """Count one answer.
 
         :return: whether a backend server answered the request.
         """
         reason = find_header(answer.headers, "wagtailstep-reason")
         if reason is not None:
-            self.tally.refused[reason] = self.tally.refused.get(reason, 0) + 1
+            self.counts.refused[reason] = self.counts.refused.get(reason, 0) + 1
             return False
         if answer.status > MAX_ANSWERED_STATUS:
-            self.tally.refused["status-500"] = (
-                self.tally.refused.get("status-500", 0) + 1
+            self.counts.refused["status-500"] = (
+                self.counts.refused.get("status-500", 0) + 1
             )
             return False
-        self.tally.answered += 1
-        if not is_own_answer(sending, answer, body):
-            self.tally.wrong_answers += 1
+        self.counts.answered += 1
+        if not is_expected_answer(caller_request, answer, body):
+            self.counts.wrong_answers += 1
         return True
 
-    def make_request(self, sending: Sending, address: str) -> HttpRequest:
+    def build_request(self, caller_request: CallerRequest, address: str) -> HttpRequest:
         """Return the request for a daemon or a backend server."""
         headers = (
             ("host", address),
             ("wagtailstep-service", self.service),
             ("wagtailstep-timeout-ms", str(int(TIMEOUT.total_seconds() * 1_000))),
-            ("content-length", str(len(sending.body))),
-            ("fake-key", sending.key),
-            *sending.headers,
+            ("content-length", str(len(caller_request.body))),
+            ("fake-key", caller_request.key),
+            *caller_request.headers,
         )
         return HttpRequest(
             address=address,
-            method=sending.method,
-            path=sending.path,
+            method=caller_request.method,
+            path=caller_request.path,
             headers=headers,
-            body=yield_chunks(sending.body),
-            idempotent=sending.method != "POST",
+            body=iterate_chunks(caller_request.body),
+            idempotent=caller_request.method != "POST",
             time_left=TIMEOUT + timedelta(seconds=1),
         )
 
 
-def is_own_answer(sending: Sending, answer: Answer, body: bytes) -> bool:
+def is_expected_answer(
+    caller_request: CallerRequest, answer: Answer, body: bytes
+) -> bool:
     """Tell whether an answer is whole and belongs to a request."""
     digest = find_header(answer.headers, "fake-body-digest")
     return (
-        find_header(answer.headers, "fake-key") == sending.key
-        and body == f"{sending.key}\n".encode()
-        and digest == xxhash.xxh64(sending.body).hexdigest()
+        find_header(answer.headers, "fake-key") == caller_request.key
+        and body == f"{caller_request.key}\n".encode()
+        and digest == xxhash.xxh64(caller_request.body).hexdigest()
     )
 
 
-async def yield_chunks(data: bytes) -> AsyncIterator[bytes]:
+async def iterate_chunks(data: bytes) -> AsyncIterator[bytes]:
     """Yield a body in chunks."""
     for start in range(0, len(data), CHUNK_BYTES):
         yield data[start : start + CHUNK_BYTES]
--- a/features/steps/histories_steps.py
+++ b/features/steps/histories_steps.py
@@ -7,7 +7,7 @@
 
 from behave import given, then, when
 from benchmarks.histories.fleet import FakeFleet, yield_bytes
-from benchmarks.histories.history import Kind
+from benchmarks.histories.history import OperationKind
 from benchmarks.histories.schedule import FAULTS, run_schedule
 
 from wagtailstep import exceptions
@@ -80,7 +80,7 @@
 def check_some_run(context):
     sendings = [s for r in context.results for s in r.history.sendings]
     ran = {s.kind for s in sendings if s.verdict == "run"}
-    assert ran == set(Kind), ran
+    assert ran == set(OperationKind), ran
 
 
 @then("both histories are the same")
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -7,7 +7,7 @@
 
 import detangle
 from behave import given, then, when
-from benchmarks.platform_soak import play
+from benchmarks.platform_soak import run_soak
 from benchmarks.soak.fleet import SERVICE, SoakDaemon, SoakFleet
 
 from wagtailstep.controllers.retries import RetryPolicy
@@ -33,7 +33,7 @@
 def play_soak(context, names, seed):
     logging.disable(logging.CRITICAL)
     try:
-        context.result = play(seed, tuple(names.split(", ")))
+        context.result = run_soak(seed, tuple(names.split(", ")))
     finally:
         logging.disable(logging.NOTSET)
 
@@ -45,7 +45,7 @@
 
 @then("at least {count:d} requests were answered with success")
 def check_served(context, count):
-    served = sum(each.status == 200 for each in context.result.told)
+    served = sum(each.status == 200 for each in context.result.outcomes)
     assert served >= count, served
 
 
