--- a/.ci/test.sh
+++ b/.ci/test.sh
@@ -1,4 +1,5 @@
 #!/bin/sh
-# Runs formatter, linter, layer check and behave; the last line is the verdict.
+# Runs the formatter, linter, layer check and behave. The last line of the output sums
+# up the results.
 set -u
 exec "$PY" features/run_tests.py
--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements; each writes a table under docs/measurements."""
+"""Benchmarks and simulations; most write a page under docs/measurements."""
--- a/benchmarks/check_histories.py
+++ b/benchmarks/check_histories.py
@@ -1,5 +1,6 @@
-"""Check the promises on histories of seeded schedules.
+"""Check the guarantees of the proxy on histories of simulated runs with faults.
 
+Each run is reproducible from its seed:
 ``python -m benchmarks.check_histories --seed=1 --runs=200``
 """
 
@@ -18,17 +19,19 @@
 
 
 def count_outcomes(result: RunResult, outcomes: collections.Counter) -> None:
-    """Count how the sendings of a run ended, by kind and verdict."""
+    """Count the outcomes of all sends of a run, by operation type and verdict."""
     for sending in result.history.sendings:
         outcomes[f"{sending.kind.value}/{sending.verdict or 'no-answer'}"] += 1
 
 
 def main(seed: int = 1, runs: int = 200, report: bool = False) -> None:
-    """Run schedules with the seeds that follow from one seed and print the verdict.
+    """Run simulated schedules, check their histories and print all violations.
 
-    :param seed: first seed.
+    Run number i has the seed ``seed * 1_000_000 + i``.
+
+    :param seed: determines the seeds of the runs.
     :param runs: number of schedules.
-    :param report: whether to write the page with the counts.
+    :param report: whether to write the counts to docs/measurements/histories.md.
     """
     logging.disable(logging.CRITICAL)
     markdown_report = Report("Histories", "check_histories", seed)
--- a/benchmarks/histories/__init__.py
+++ b/benchmarks/histories/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded histories of a small fleet under faults, and their checker."""
+"""Simulate a small fleet under faults and check its histories of requests."""
--- a/benchmarks/histories/callers.py
+++ b/benchmarks/histories/callers.py
@@ -1,4 +1,4 @@
-"""Callers that send operations and resend them as they may."""
+"""Callers that send operations and resend those that are safe to repeat."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 
 class Caller:
-    """One caller with its operations, one after the other."""
+    """A caller that runs its operations one after the other."""
 
     def __init__(self, number: int, fleet: FakeFleet) -> None:
         self.number = number
@@ -33,18 +33,21 @@
         self.keys: dict[int, tuple[OperationKind, str]] = {}
 
     async def run(self, operations: int) -> None:
-        """Do some operations of random kinds."""
+        """Run some operations of random types."""
         for index in range(operations):
             await asyncio.sleep(self.rng.uniform(0, 0.5))
             kind = self.rng.choice(list(OperationKind))
             await self.run_operation(self.number * 100 + index, kind)
 
     def pick_daemon(self) -> FakeDaemon:
-        """Return any daemon."""
+        """Return a random daemon."""
         return self.rng.choice(list(self.fleet.daemons.values()))
 
     async def run_operation(self, operation: int, kind: OperationKind) -> None:
-        """Send one operation until it is answered or may not be sent again."""
+        """Send one operation until it is answered or must not be sent again.
+
+        Keyed operations are sometimes sent twice at the same time.
+        """
         key = await self.get_key(operation, kind)
         if kind.keyed and key is None:
             return
@@ -61,14 +64,17 @@
             await asyncio.sleep(self.rng.uniform(0, 0.4))
 
     async def resend_unexecuted_operations(self) -> None:
-        """Send each keyed operation that has not run once more."""
+        """Send each keyed operation that never ran one more time."""
         ran = {execution.operation for execution in self.fleet.history.executions}
         for operation, (kind, key) in self.keys.items():
             if kind.keyed and operation not in ran:
                 await self.send(operation, kind, key, False)
 
     async def get_key(self, operation: int, kind: OperationKind) -> str | None:
-        """Return a key, or ask a daemon for a ticket."""
+        """Return the idempotency key of an operation, or a ticket from a daemon.
+
+        :return: ``None`` if the operation has no key or the daemon is down.
+        """
         if kind is not OperationKind.TICKET:
             return f"key-{operation}" if kind is OperationKind.KEY else None
         daemon = self.pick_daemon()
@@ -77,7 +83,10 @@
         return await daemon.entry.issue_ticket(SERVICE)
 
     def should_resend(self, sending: Sending) -> bool:
-        """Tell whether the caller sends again after this."""
+        """Return whether the caller sends the operation again after an outcome.
+
+        Some keyed operations are repeated although they succeeded.
+        """
         if sending.status == 200:
             return sending.kind.keyed and self.rng.random() < 0.2
         if sending.kind is OperationKind.UNKEYED:
@@ -87,7 +96,7 @@
     async def send(
         self, operation: int, kind: OperationKind, key: str | None, is_first: bool
     ) -> Sending:
-        """Send once through any daemon and record how it ended."""
+        """Send an operation once, through a random daemon, and record the outcome."""
         history = self.fleet.history
         loop = asyncio.get_running_loop()
         sending = Sending(operation, len(history.sendings), kind, loop.time())
@@ -107,7 +116,7 @@
     def build_request(
         self, sending: Sending, key: str | None, is_first: bool
     ) -> IncomingRequest:
-        """Return the request of one sending; its body names the operation."""
+        """Build the request of one send; its body is the operation's number."""
         request_headers = [
             (headers.SERVICE, SERVICE),
             (headers.TIMEOUT_MS, str(TIMEOUT_MS)),
--- a/benchmarks/histories/checker.py
+++ b/benchmarks/histories/checker.py
@@ -1,4 +1,4 @@
-"""Check the promises on the history of one run."""
+"""Check the guarantees of the proxy on the history of one run."""
 
 from collections.abc import Iterator, Sequence
 
@@ -13,12 +13,15 @@
 
 
 def build_answer(operation: int, sending: int) -> str:
-    """Return the whole answer of a backend server to one execution."""
+    """Build the complete response of a backend server to one execution.
+
+    The dots make it long enough to be truncated.
+    """
     return f"answer to operation {operation} run for sending {sending}" + "." * 40
 
 
 def check_history(history: RunHistory) -> list[Violation]:
-    """Return all violations of the promises in a history."""
+    """Return all violations of the guarantees in a history."""
     return [
         *check_at_most_once(history),
         *check_answers(history),
@@ -30,7 +33,7 @@
 def check_at_most_once(history: RunHistory) -> Iterator[Violation]:
     """Find non-idempotent requests that ran more than once.
 
-    A keyed operation runs once over all its sendings, an unkeyed one once for each.
+    A keyed operation may run once in all, an unkeyed one once for each send.
     """
     keyed = {s.operation: s.kind.keyed for s in history.sendings}
     lookups = {s.operation for s in history.sendings if s.kind.value == "lookup"}
@@ -46,7 +49,7 @@
 
 
 def check_answers(history: RunHistory) -> Iterator[Violation]:
-    """Find answers that are not the whole answer to the caller's own request."""
+    """Find responses that are incomplete or belong to another request."""
     executed = {(e.operation, e.sending) for e in history.executions}
     for sending in history.sendings:
         if sending.status == INTERNAL_SERVER_ERROR:
@@ -61,9 +64,10 @@
 
 
 def may_answer(sending: Sending, operation: int, number: int) -> bool:
-    """Tell whether an execution may answer a sending.
+    """Return whether the response of an execution is correct for a send.
 
-    A keyed resend gets the answer of the one execution, whichever sending led to it.
+    All sends of a keyed operation get the response of its single execution, whichever
+    of them caused it.
     """
     if operation != sending.operation:
         return False
@@ -71,10 +75,10 @@
 
 
 def check_not_run_verdicts(history: RunHistory) -> Iterator[Violation]:
-    """Find requests that had run when their caller was told that they had not.
+    """Find requests that ran although their caller got the verdict "not run".
 
-    Of a sending told "not run" nothing may ever run; of its operation, if it has a
-    key, nothing may have run by then.
+    A send with this verdict must never run, not even later. If its operation has a
+    key, no other send of the operation may have run before the verdict either.
     """
     for sending in history.sendings:
         if sending.verdict != NOT_RUN:
@@ -88,7 +92,7 @@
 
 
 def check_keyed_operations_ran(history: RunHistory) -> Iterator[Violation]:
-    """Find keyed operations that did not run although all faults had gone."""
+    """Find keyed operations that never ran although all faults had ended."""
     ran = {execution.operation for execution in history.executions}
     for operation in {s.operation: s for s in history.sendings if s.kind.keyed}:
         if operation not in ran:
@@ -96,10 +100,10 @@
 
 
 class AtMostOnceModel(detangle.lin.Model):
-    """A keyed operation: it has run or not; answers agree with that.
+    """Sequential model of a keyed operation; its state is whether it has run.
 
-    Operation ``send`` (operation number) with the output ``run`` makes or finds it
-    run; with the output ``not-run`` it must find it not run.
+    A ``send`` (of an operation number) with the output ``run`` runs the operation or
+    finds that it has run. The output ``not-run`` is only possible before it has run.
     """
 
     name = "once"
@@ -109,7 +113,7 @@
         return False
 
     def step(self, state: bool, op: detangle.lin.Operation) -> tuple[bool, bool]:
-        """Tell whether an operation is possible now, and the state after it."""
+        """Return whether an operation is possible in a state, and the next state."""
         if op.output == NOT_RUN:
             return not state, False
         return True, True
@@ -117,7 +121,7 @@
     def partition(
         self, operations: Sequence[detangle.lin.Operation]
     ) -> list[list[detangle.lin.Operation]]:
-        """Split by key: the keys are independent."""
+        """Split the operations by key, since keys are independent of each other."""
         groups: dict[int, list[detangle.lin.Operation]] = {}
         for operation in operations:
             groups.setdefault(operation.arg, []).append(operation)
@@ -125,9 +129,9 @@
 
 
 def check_linearizability(history: RunHistory) -> Iterator[Violation]:
-    """Check that the answers to keyed operations are linearizable.
+    """Check that the verdicts on keyed operations are linearizable.
 
-    An answer "may have run" or no answer at all is an unknown outcome.
+    The verdict "may have run" or no response at all counts as an unknown outcome.
     """
     recorded = detangle.History()
     invoked = {}
@@ -145,7 +149,10 @@
 
 
 def order_events(history: RunHistory) -> list[tuple[Sending, bool]]:
-    """Return the starts and ends of keyed sendings in their order."""
+    """Return the starts and ends of keyed sends in order of time.
+
+    :return: pairs of a send and whether this is its end.
+    """
     keyed = [s for s in history.sendings if s.kind.keyed]
     starts = [(s.started, 0, s) for s in keyed]
     ends = [(s.ended, 1, s) for s in keyed if s.ended is not None]
--- a/benchmarks/histories/fleet.py
+++ b/benchmarks/histories/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of real entries over fakes of network, gates and log service."""
+"""A small fleet of real entries with a fake network, gates and log service."""
 
 import asyncio
 import random
@@ -34,7 +34,7 @@
 
 @attrs.define
 class CompleteAnswer:
-    """An answer as a caller's HTTP client has it after reading it whole."""
+    """A response that a caller's HTTP client has read completely."""
 
     status: int
     headers: headers.Headers
@@ -42,7 +42,7 @@
 
 
 async def yield_bytes(data: bytes) -> Any:
-    """Yield a body in two chunks."""
+    """Yield a body in up to two chunks."""
     half = len(data) // 2
     for chunk in (data[:half], data[half:]):
         if chunk:
@@ -50,19 +50,19 @@
 
 
 async def yield_truncated_bytes(data: bytes) -> Any:
-    """Yield half a body and fail."""
+    """Yield half of a body, then raise the error of a truncated response."""
     yield data[: len(data) // 2]
     raise exceptions.TruncatedAnswerError("the answer ended early")
 
 
 class NullChannel:
-    """A control channel that nobody listens to."""
+    """A control channel that drops all messages."""
 
     async def start(self, receive: Any) -> None:
-        """Receive nothing."""
+        """Do nothing; no message ever arrives."""
 
     async def close(self) -> None:
-        """Close nothing."""
+        """Do nothing; there is no connection."""
 
     def send(self, address: str, message: object) -> None:
         """Drop a message."""
@@ -70,7 +70,7 @@
 
 @attrs.define
 class LogClient:
-    """The log service as one daemon reaches it."""
+    """Access of one daemon to the fake log service."""
 
     daemon_id: str
     log: FakeLog
@@ -90,7 +90,10 @@
 
 
 class FakeDaemon:
-    """One daemon: a real entry with its controllers, and its gate as a fake."""
+    """A daemon with a real entry and its controllers, and a fake gate.
+
+    It is the forwarder and the relay of its entry, in place of the HTTP clients.
+    """
 
     def __init__(self, daemon_id: str, fleet: "FakeFleet") -> None:
         self.daemon_id = daemon_id
@@ -101,9 +104,10 @@
         self.tasks: set[asyncio.Task] = set()
 
     async def boot(self) -> None:
-        """Start with an empty memory."""
+        """Start, or restart without the state that was in memory."""
         self.incarnation += 1
-        # The seed stays the same: nothing may depend on fresh random numbers.
+        # Every start uses the same seed, as correctness must not depend on a restarted
+        # daemon drawing different random numbers.
         self.up = True
         settings = DaemonSettings(
             self.daemon_id, *["z", ADDRESS, ADDRESS, ADDRESS, ADDRESS]
@@ -130,7 +134,7 @@
         await self.runtime.start()
 
     def crash(self) -> None:
-        """Stop at once; nothing that is still done has an effect."""
+        """Stop at once; code that still runs has no effects any more."""
         self.up = False
         self.runtime.apply_all = lambda effects: None
         for task in [*self.tasks, *self.runtime.tasks]:
@@ -144,9 +148,9 @@
         return task
 
     async def handle(self, incoming: IncomingRequest) -> CompleteAnswer:
-        """Handle a request and write its answer, as the HTTP server does.
+        """Handle a request and read its response, as the HTTP server does.
 
-        :raises RequestError: if the transfer of the answer breaks.
+        :raises RequestError: if the transfer of the response fails.
         """
         await self.not_paused.wait()
         answer = await self.entry.handle(incoming)
@@ -165,7 +169,7 @@
         incoming: IncomingRequest,
         time_left: timedelta,
     ) -> Answer:
-        """Send one attempt; the interface of the real HTTP client."""
+        """Send one attempt to a gate, with the interface of the real forwarder."""
         await self.not_paused.wait()
         gate_daemon = self.fleet.daemons[gate.daemon_id]
         await self.fleet.connect(self.daemon_id, gate_daemon)
@@ -179,7 +183,7 @@
     async def relay(
         self, member: Member, incoming: IncomingRequest, time_left: timedelta
     ) -> Answer:
-        """Pass a request on; the interface of the real HTTP client."""
+        """Relay a request to another entry, with the interface of the real relay."""
         await self.not_paused.wait()
         other = self.fleet.daemons[member.daemon_id]
         exchange = self.fleet.exchange_with_entry(self.daemon_id, other, incoming)
@@ -189,7 +193,7 @@
 
 
 class FakeFleet:
-    """Some daemons, each beside one backend server."""
+    """Daemons, each beside one backend server, and what connects them."""
 
     def __init__(self, seed: int, size: int, rows: dict[str, Any]) -> None:
         self.seed = seed
@@ -205,7 +209,7 @@
         self.daemons = {daemon_id: FakeDaemon(daemon_id, self) for daemon_id in ids}
 
     def create_blackboard(self, daemon: FakeDaemon) -> Blackboard:
-        """Return what a daemon knows after it has found the others."""
+        """Create the blackboard of a daemon that has found all members and targets."""
         members = {
             other.daemon_id: Member(
                 other.daemon_id, other.incarnation, ADDRESS, ADDRESS, "z"
@@ -221,16 +225,16 @@
         return board
 
     def spawn(self, coroutine: Any) -> asyncio.Task:
-        """Run a coroutine that no daemon's crash ends."""
+        """Run a coroutine that goes on when a daemon crashes."""
         task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
     async def connect(self, sender: str, daemon: FakeDaemon) -> None:
-        """Open a connection.
+        """Open a connection to a daemon.
 
-        :raises ConnectionFailedError: ``NOT_RUN`` if that fails.
+        :raises ConnectionFailedError: with ``NOT_RUN`` if the connection fails.
         """
         request_arrived = await self.network.deliver(sender, daemon.daemon_id)
         reply_arrived = await self.network.deliver(daemon.daemon_id, sender)
@@ -240,9 +244,9 @@
             raise exceptions.ConnectionFailedError("no connection", Verdict.NOT_RUN)
 
     async def wait_for_reply(self, exchange: Any, time_left: timedelta) -> Any:
-        """Wait for a reply; the other side goes on even if nobody waits.
+        """Wait for a reply; after a time-out the exchange still goes on.
 
-        :raises RequestError: ``MAY_HAVE_RUN`` if there is none in time.
+        :raises RequestError: with ``MAY_HAVE_RUN`` if there is no reply in time.
         """
         task = self.spawn(exchange)
         try:
@@ -254,14 +258,14 @@
             ) from None
 
     async def deliver_or_hang(self, sender: str, receiver: str) -> None:
-        """Carry a message; if it is lost, its receiver waits in vain."""
+        """Deliver a message; if it is lost, wait as long as a hung connection."""
         if not await self.network.deliver(sender, receiver):
             await asyncio.sleep(3_600)
 
     async def exchange_with_entry(
         self, sender: str, daemon: FakeDaemon, incoming: IncomingRequest
     ) -> CompleteAnswer:
-        """Bring a request to a daemon's entry and the answer back."""
+        """Deliver a request to a daemon's entry and its response to the sender."""
         await self.connect(sender, daemon)
         await self.deliver_or_hang(sender, daemon.daemon_id)
         handling = daemon.spawn(daemon.handle(incoming))
@@ -275,7 +279,7 @@
     async def exchange_with_gate(
         self, sender: str, daemon: FakeDaemon, sending: int, body: bytes
     ) -> Answer:
-        """Bring an attempt to a gate, run it there and bring the answer back."""
+        """Deliver an attempt to a gate, run it and deliver the response."""
         incarnation = daemon.incarnation
         await self.deliver_or_hang(sender, daemon.daemon_id)
         await daemon.not_paused.wait()
@@ -291,15 +295,15 @@
         return answer
 
     def build_refusal_error(self) -> exceptions.RequestError:
-        """Return a gate's refusal of a request that it did not run."""
+        """Build a gate's error for a request that it refused without running it."""
         if self.rng.random() < 0.5:
             return exceptions.LeavingError("the backend server is leaving")
         return exceptions.OverloadedError("no free slot", timedelta(seconds=1))
 
     async def execute(self, daemon: FakeDaemon, sending: int, operation: int) -> Answer:
-        """Run a request on a backend server; it takes effect halfway.
+        """Run a request on a backend server; it takes effect halfway through.
 
-        :raises ConnectionFailedError: if the backend server crashes meanwhile.
+        :raises ConnectionFailedError: if the backend server crashes while it runs.
         """
         crashes = self.backend_crashes.get(daemon.daemon_id, 0)
         for has_run in (False, True):
@@ -315,7 +319,7 @@
         return Answer(200, (), yield_bytes(text), Verdict.RUN)
 
     async def close(self) -> None:
-        """Stop all tasks."""
+        """Stop all daemons and tasks."""
         for daemon in self.daemons.values():
             daemon.crash()
         tasks = [*self.tasks, *self.log.late_appends]
--- a/benchmarks/histories/history.py
+++ b/benchmarks/histories/history.py
@@ -1,4 +1,4 @@
-"""What happened in one run: sendings by callers and executions by backend servers."""
+"""The history of one run: sends by callers and executions by backend servers."""
 
 import enum
 
@@ -6,7 +6,10 @@
 
 
 class OperationKind(enum.Enum):
-    """How a caller protects its request."""
+    """Type of an operation, by how its caller guards it against running twice.
+
+    A lookup is idempotent; the other types are not.
+    """
 
     LOOKUP = "lookup"
     UNKEYED = "unkeyed"
@@ -15,22 +18,22 @@
 
     @property
     def keyed(self) -> bool:
-        """Return whether resends carry the same key or ticket."""
+        """Return whether all sends of the operation carry the same key or ticket."""
         return self in (OperationKind.KEY, OperationKind.TICKET)
 
 
 @attrs.define
 class Sending:
-    """One sending of one operation by its caller.
+    """One send of an operation by its caller, and its outcome.
 
-    :param operation: number of the operation; resends have the same.
-    :param sending: number of the sending.
-    :param kind: how the operation is protected.
+    :param operation: number of the operation; the same in all its sends.
+    :param sending: number of this send, unique in the run.
+    :param kind: type of the operation.
     :param started: time in seconds when it was sent.
-    :param ended: time in seconds when its answer came, or ``None``.
-    :param status: HTTP status, or ``None`` without a whole answer.
-    :param verdict: value of the verdict header, or ``None``.
-    :param body: the whole body.
+    :param ended: time in seconds when its response arrived; ``None`` if none did.
+    :param status: HTTP status; ``None`` without a complete response.
+    :param verdict: value of the verdict header; ``None`` without one.
+    :param body: complete body of the response.
     """
 
     operation: int
@@ -48,7 +51,7 @@
     """One run of an operation by a backend server.
 
     :param operation: number of the operation.
-    :param sending: number of the sending that led to it.
+    :param sending: number of the send that caused it.
     :param time: time in seconds when it took effect.
     """
 
@@ -59,7 +62,7 @@
 
 @attrs.define
 class RunHistory:
-    """All sendings and executions of one run."""
+    """All sends and executions of one run."""
 
     sendings: list[Sending] = attrs.field(factory=list)
     executions: list[Execution] = attrs.field(factory=list)
@@ -67,10 +70,10 @@
 
 @attrs.frozen
 class Violation:
-    """A promise that a history breaks.
+    """A guarantee that a history violates.
 
-    :param promise: name of the promise.
-    :param detail: the operation and sending.
+    :param promise: name of the guarantee.
+    :param detail: the operation, send or execution that violates it.
     """
 
     promise: str
--- a/benchmarks/histories/network.py
+++ b/benchmarks/histories/network.py
@@ -1,4 +1,4 @@
-"""Fakes of the network and of the log service, with faults switched on and off."""
+"""Fake network and log service whose faults can be switched on and off."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 
 @attrs.define
 class Faults:
-    """What goes wrong now.
+    """Faults that are active now.
 
     :param blocked_links: pairs of sender and receiver whose messages are lost.
     :param loss_probability: probability that a message is lost.
@@ -26,7 +26,8 @@
     :param truncation_probability: probability that an answer ends early.
     :param refusal_probability: probability that a gate refuses a request as not run.
     :param log_unavailable: whether the log service refuses all calls.
-    :param lost_acknowledgment_probability: probability that an append is not acknowledged.
+    :param lost_acknowledgment_probability: probability that an append is not
+        acknowledged.
     """
 
     blocked_links: set[tuple[str, str]] = attrs.field(factory=set)
@@ -39,14 +40,14 @@
 
 
 class FakeNetwork:
-    """Carries messages between named ends, each one later, lost or cut."""
+    """Delivers messages between named endpoints with delays and losses."""
 
     def __init__(self, rng: random.Random, faults: Faults) -> None:
         self.rng = rng
         self.faults = faults
 
     async def deliver(self, sender: str, receiver: str) -> bool:
-        """Carry one message and tell whether it arrives."""
+        """Wait for the delay of one message and return whether it arrives."""
         delay = self.rng.uniform(0.0005, 0.005)
         if self.faults.max_extra_delay_s and self.rng.random() < 0.5:
             delay += self.rng.uniform(0, self.faults.max_extra_delay_s)
@@ -57,7 +58,7 @@
 
 
 class FakeLog:
-    """An in-memory log service; an append may apply without acknowledgment."""
+    """An in-memory log service that may apply appends without acknowledging them."""
 
     def __init__(self, network: FakeNetwork) -> None:
         self.network = network
@@ -89,7 +90,10 @@
         return offset
 
     async def append_without_acknowledgment(self, stream: str, data: bytes) -> None:
-        """Let an append apply late, or never, without acknowledgment."""
+        """Apply an append late, or never, and do not acknowledge it.
+
+        :raises AppendUnknownError: always.
+        """
         if self.rng.random() < 0.5:
             task = asyncio.create_task(self.append_late(stream, data))
             self.late_appends.add(task)
@@ -97,12 +101,12 @@
         raise AppendUnknownError("no acknowledgment")
 
     async def append_late(self, stream: str, data: bytes) -> None:
-        """Apply an append after its sender has stopped to wait for it."""
+        """Apply an append after a delay; its sender may have timed out by then."""
         await asyncio.sleep(self.rng.uniform(0, 4 * APPEND_TIMEOUT_S))
         self.apply(stream, data)
 
     def apply(self, stream: str, data: bytes) -> int:
-        """Add a record to a stream."""
+        """Add a record to a stream and return its offset."""
         records = self.streams.setdefault(stream, [])
         records.append(data)
         return len(records) - 1
--- a/benchmarks/histories/schedule.py
+++ b/benchmarks/histories/schedule.py
@@ -1,4 +1,4 @@
-"""Runs: a fleet, its callers and one fault or a pair of faults."""
+"""Run a simulated fleet with its callers under one or two types of faults."""
 
 import asyncio
 import random
@@ -39,7 +39,7 @@
 
 
 async def truncate_answers(fleet: FakeFleet, rng: random.Random) -> None:
-    """End some answers early."""
+    """Truncate some responses."""
     fleet.faults.truncation_probability = rng.uniform(0.1, 0.8)
     await asyncio.sleep(rng.uniform(0.2, 1.0))
     fleet.faults.truncation_probability = 0.0
@@ -53,7 +53,7 @@
 
 
 async def crash_daemon(fleet: FakeFleet, rng: random.Random) -> None:
-    """Crash a daemon and start it again with an empty memory."""
+    """Crash a daemon and restart it without its state in memory."""
     daemon = rng.choice(list(fleet.daemons.values()))
     daemon.crash()
     await asyncio.sleep(rng.uniform(0.0, 0.8))
@@ -61,7 +61,7 @@
 
 
 async def crash_backend_servers(fleet: FakeFleet, rng: random.Random) -> None:
-    """Crash all backend servers some times, whatever they run."""
+    """Crash all backend servers repeatedly, which aborts the requests they run."""
     for _ in range(rng.randint(1, 8)):
         for daemon_id in fleet.daemons:
             crashes = fleet.backend_crashes.get(daemon_id, 0)
@@ -70,7 +70,7 @@
 
 
 async def block_links_one_way(fleet: FakeFleet, rng: random.Random) -> None:
-    """Cut some links in one direction."""
+    """Block some links in one direction."""
     ends = [*fleet.daemons, LOG, CALLER]
     blocked_links = [tuple(rng.sample(ends, 2)) for _ in range(rng.randint(1, 3))]
     fleet.faults.blocked_links.update(blocked_links)
@@ -79,7 +79,7 @@
 
 
 async def pause_daemon(fleet: FakeFleet, rng: random.Random) -> None:
-    """Stop a daemon between any two steps and let it go on later."""
+    """Suspend a daemon at an arbitrary step and resume it later."""
     daemon = rng.choice(list(fleet.daemons.values()))
     daemon.not_paused.clear()
     await asyncio.sleep(rng.uniform(0.2, 2.0))
@@ -87,14 +87,14 @@
 
 
 async def make_log_unavailable(fleet: FakeFleet, rng: random.Random) -> None:
-    """Take the log service away."""
+    """Make the log service refuse all calls for a while."""
     fleet.faults.log_unavailable = True
     await asyncio.sleep(rng.uniform(0.2, 2.0))
     fleet.faults.log_unavailable = False
 
 
 async def lose_acknowledgments(fleet: FakeFleet, rng: random.Random) -> None:
-    """Leave appends unacknowledged: applied, applied late or not at all."""
+    """Leave appends unacknowledged, whether applied at once, late or never."""
     fleet.faults.lost_acknowledgment_probability = rng.uniform(0.3, 1.0)
     await asyncio.sleep(rng.uniform(0.2, 1.5))
     fleet.faults.lost_acknowledgment_probability = 0.0
@@ -114,19 +114,20 @@
 }
 
 
-# These leave no doubt about a run, so that no key may stay held without one.
+# These faults never leave it unknown whether a request ran, so after them every keyed
+# operation must be able to run; its key must not stay claimed without a run.
 CERTAIN_OUTCOME_FAULTS = frozenset({"refusals", "log-away", "lost-acknowledgments"})
 
 
 @attrs.define
 class RunResult:
-    """One run and what the checker found.
+    """One run and the findings of the checker.
 
     :param seed: seed of the run.
     :param faults: names of its faults.
-    :param history: what happened.
-    :param violations: broken promises.
-    :param appends: appends to the log.
+    :param history: its sends and executions.
+    :param violations: violated guarantees.
+    :param appends: number of calls that append to the log.
     """
 
     seed: int
@@ -139,7 +140,7 @@
 def run_schedule(seed: int, faults: tuple[str, ...] | None = None) -> RunResult:
     """Run one seeded schedule and check its history.
 
-    :param faults: names of the faults; by default one or two that the seed picks.
+    :param faults: names of the faults; by default one or two chosen by the seed.
     """
     rng = random.Random(f"{seed}/faults")
     if faults is None:
@@ -161,7 +162,11 @@
 async def run_callers_and_faults(
     fleet: FakeFleet, faults: tuple[str, ...], rng: random.Random
 ) -> None:
-    """Run callers and faults beside each other, and stop."""
+    """Run callers and faults concurrently, then stop the fleet.
+
+    After faults that leave no outcome unknown, wait until the fleet has recovered and
+    resend what has not run.
+    """
     for daemon in fleet.daemons.values():
         await daemon.boot()
     callers = [Caller(number, fleet) for number in range(1, CALLER_COUNT + 1)]
@@ -176,7 +181,7 @@
 
 
 async def run_fault_twice(fleet: FakeFleet, name: str, rng: random.Random) -> None:
-    """Start a fault at a random time, some times over."""
+    """Run a fault twice, each time after a random delay."""
     for _ in range(2):
         await asyncio.sleep(rng.uniform(0, MAX_FAULT_START_DELAY_S))
         await FAULTS[name](fleet, rng)
--- a/benchmarks/platform_soak.py
+++ b/benchmarks/platform_soak.py
@@ -1,11 +1,11 @@
-"""Play faults of many kinds at a fleet on the platform, and check its promises.
-
-``python -m benchmarks.platform_soak --seed=1 --runs=20`` plays runs of 60 s in virtual
-time: real daemons with the adapter, the stand-ins of the store and of backend
-servers. In each run two kinds of trouble come together again and again; then all is
-mended. Promises: nothing unrepeatable runs twice, what was refused as not run never
-ran, every answer is the caller's own and whole, planned work alone cuts no request,
-and after the end of all trouble requests are served again.
+"""Soak test: inject faults into a fleet on the platform and check its guarantees.
+
+``python -m benchmarks.platform_soak --seed=1 --runs=20`` simulates runs of 60 s in
+virtual time: real daemons with the platform adapter, a fake store and fake backend
+servers. Each run injects two types of faults repeatedly and concurrently, then ends
+all faults. Guarantees: no unsafe request runs twice; a request that was refused as not
+run never ran; every response is complete and belongs to the caller's request; planned
+operations alone interrupt no request; after the faults, requests are served again.
 """
 
 import asyncio
@@ -27,11 +27,12 @@
 RATE_PER_S = 40.0
 WARMUP_S = 6.0
 FAULT_PHASE_S = 34.0
-# The platform's bound for being back.
+# The platform requires a fleet to have recovered within this time after faults.
 RECOVERY_S = 15.0
 FINAL_PHASE_S = 5.0
 MIN_FINAL_SERVED_RATIO = 0.95
-# Later than this after its last byte a request can't have crossed a close.
+# A request that fails because it crossed the close of its connection fails within this
+# time; a request that fails later was lost for another reason.
 MAX_CROSSED_CLOSE_S = 0.2
 REFUSAL_STATUSES = (408, 421, 429, 503)
 MAX_STEPS = 6_000_000
@@ -39,11 +40,12 @@
 
 @attrs.define
 class SoakResult:
-    """How one run ended.
+    """Result of one run.
 
-    :param fault_names: kinds of trouble that were played.
-    :param outcomes: what callers were told.
-    :param violations: broken promises.
+    :param seed: seed of the run.
+    :param fault_names: names of the injected faults.
+    :param outcomes: outcomes of all requests.
+    :param violations: violated guarantees.
     """
 
     seed: int
@@ -53,31 +55,31 @@
 
 
 async def lose_power(fleet: SoakFleet, host: Host, rng: random.Random) -> None:
-    """Cut the power of a host for a while."""
+    """Power off a host for a while."""
     fleet.power_off(host)
     await asyncio.sleep(rng.uniform(0.5, 4.0))
     await fleet.restore_power(host)
 
 
 async def restart(fleet: SoakFleet, host: Host, rng: random.Random) -> None:
-    """Stop and start a daemon, as planned work does."""
+    """Shut a daemon down gracefully and start it, as planned operations do."""
     await fleet.restart_daemon(host)
 
 
 async def partition_host(fleet: SoakFleet, host: Host, rng: random.Random) -> None:
-    """Cut a host off from the others for a while."""
+    """Partition a host from the other hosts for a while."""
     fleet.partition(host)
     await asyncio.sleep(rng.uniform(1.0, 5.0))
     fleet.heal()
 
 
 async def change_table(fleet: SoakFleet, host: Host, rng: random.Random) -> None:
-    """Publish a new version."""
+    """Publish a new version of the configuration."""
     fleet.publish()
 
 
 async def disrupt_store(fleet: SoakFleet, host: Host, rng: random.Random) -> None:
-    """Have the store refuse, say nothing, or lose answers for a while."""
+    """Make the store return errors, hang, or lose responses for a while."""
     faults = fleet.store.faults
     fault = rng.choice(("status", "silent", "lost_answers"))
     setattr(faults, fault, {"status": 503, "silent": True, "lost_answers": 5}[fault])
@@ -86,7 +88,7 @@
 
 
 def create_gray_failure(**faults: float) -> Callable[..., Awaitable[None]]:
-    """Return the trouble of a backend server with faults for a while."""
+    """Create a fault that gives a backend server some faults for a while."""
 
     async def run_gray_failure(
         fleet: SoakFleet, host: Host, rng: random.Random
@@ -118,7 +120,10 @@
 async def inject_faults(
     fault_name: str, fleet: SoakFleet, rng: random.Random, ends_at: float
 ) -> None:
-    """Play one kind of trouble at random hosts until a time."""
+    """Inject a fault at random hosts and times until an end time.
+
+    Does nothing while at most half of the hosts have a daemon.
+    """
     loop = asyncio.get_running_loop()
     while loop.time() < ends_at:
         await asyncio.sleep(rng.uniform(0.5, 3.0))
@@ -128,9 +133,9 @@
 
 
 def run_soak(seed: int, fault_names: tuple[str, ...] = ()) -> SoakResult:
-    """Play one run and check it.
+    """Simulate one run and check it.
 
-    :param fault_names: the kinds of trouble; none draws two.
+    :param fault_names: names of the faults; if empty, two are chosen by the seed.
     """
     rng = random.Random(seed)
     fault_names = fault_names or tuple(sorted(rng.sample(sorted(FAULTS), 2)))
@@ -153,7 +158,7 @@
         final_phase_start = loop.time() + RECOVERY_S
         callers.stop_at = final_phase_start + FINAL_PHASE_S
         await calls
-        # What was refused as not run must not run later either.
+        # Requests that were refused as not run must not run later either.
         await asyncio.sleep(RECOVERY_S)
         result.outcomes = callers.outcomes
         runs = fleet.count_runs()
@@ -170,10 +175,10 @@
     runs: "collections.Counter[str]",
     final_phase_start: float,
 ) -> list[str]:
-    """Return the broken promises.
+    """Return the violated guarantees.
 
-    :param runs: how often each request began to run.
-    :param final_phase_start: from when on requests must be served again.
+    :param runs: how often each request started to run.
+    :param final_phase_start: time from which on requests must be served again.
     """
     violations = []
     for outcome in outcomes:
@@ -197,10 +202,11 @@
 def find_interrupted_requests(
     outcomes: list[RequestOutcome], runs: "collections.Counter[str]"
 ) -> list[str]:
-    """Return the requests that were cut although all trouble was planned.
+    """Return the requests that were interrupted although no fault was unplanned.
 
-    A request that crosses the close of a kept connection and is not passed on is not
-    one of them: neither end can prevent that in HTTP/1.1, and its end is seen at once.
+    A request that crosses the close of an idle keep-alive connection, so that it never
+    ran and its caller sees the close at once, is not counted: in HTTP/1.1 neither end
+    can prevent that.
     """
     return [
         f"planned work cut {outcome.key}"
@@ -211,9 +217,11 @@
 
 
 def main(seed: int = 1, runs: int = 20) -> None:
-    """Play runs with seeds that follow from one, and print the verdict.
+    """Simulate runs and print their violations.
+
+    Run number i has the seed ``seed * 1_000_000 + i``.
 
-    :param seed: first seed.
+    :param seed: determines the seeds of the runs.
     :param runs: number of runs.
     """
     logging.disable(logging.CRITICAL)
--- a/benchmarks/soak/__init__.py
+++ b/benchmarks/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Faults of many kinds at a small fleet on the platform, in virtual time."""
+"""Soak test of a small fleet on the platform under many faults, in virtual time."""
--- a/benchmarks/soak/callers.py
+++ b/benchmarks/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak, and what they were told."""
+"""Callers of the soak test and the outcomes of their requests."""
 
 import asyncio
 import math
@@ -26,13 +26,15 @@
 
 @attrs.frozen
 class RequestOutcome:
-    """What a caller was told of one request.
-
-    :param at_s: when it was sent, in seconds since the loop began.
-    :param status: HTTP status; 0 if there was no whole answer.
-    :param is_expected_answer: whether the body is the answer to this request.
-    :param interrupted: whether the exchange ended after the request was sent.
-    :param took_s: seconds until its end.
+    """Outcome of one request for its caller.
+
+    :param key: identifier of the request.
+    :param unsafe: whether the request must not run twice.
+    :param at_s: when it was sent, in seconds of the event loop's time.
+    :param status: HTTP status; ``NO_ANSWER`` without a complete response.
+    :param is_expected_answer: whether the body is the response to this request.
+    :param interrupted: whether the exchange failed when the request may have run.
+    :param took_s: seconds until the response or failure.
     """
 
     key: str
@@ -45,11 +47,11 @@
 
 
 class CallerGroup:
-    """Send requests to daemons at random.
+    """Send requests to random daemons of a fleet.
 
-    :param fleet: whose daemons are asked.
-    :param rate_per_s: requests a second.
-    :param rng: draws arrivals, kinds and daemons.
+    :param fleet: fleet whose daemons get the requests.
+    :param rate_per_s: mean number of requests a second.
+    :param rng: source of arrival times, request types and daemons.
     """
 
     def __init__(self, fleet: SoakFleet, rate_per_s: float, rng: random.Random) -> None:
@@ -58,11 +60,11 @@
         self.rng = rng
         self.sent_count = 0
         self.outcomes: list[RequestOutcome] = []
-        # Time of the loop.
+        # In seconds of the event loop's time.
         self.stop_at = math.inf
 
     async def run(self) -> None:
-        """Send until ``stop_at`` and wait for the last answer."""
+        """Send requests until ``stop_at``, then wait until all have ended."""
         self.client = HttpClient(RequestSettings(), LoopClock())
         loop = asyncio.get_running_loop()
         async with asyncio.TaskGroup() as group:
@@ -76,7 +78,7 @@
                 )
 
     async def send_request(self, key: str, host: str, unsafe: bool) -> None:
-        """Send one request and note what its caller is told."""
+        """Send one request and record its outcome."""
         loop = asyncio.get_running_loop()
         at_s = loop.time()
         headers = (
@@ -110,5 +112,5 @@
 
 
 def start_callers(callers: CallerGroup) -> "asyncio.Task[None]":
-    """Run the callers on a host of their own."""
+    """Run the callers on a simulated host of their own."""
     return detangle.spawn(callers.run(), host="callers")
--- a/benchmarks/soak/fleet.py
+++ b/benchmarks/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Real daemons of the platform, each on a host with its backend server."""
+"""Real platform daemons on simulated hosts, each beside a fake backend server."""
 
 import asyncio
 import random
@@ -39,7 +39,7 @@
 
 
 def build_configuration(version: int) -> bytes:
-    """Return the operator's record of a version."""
+    """Build a configuration record as an operator writes it to the store."""
     columns = "name host path-prefix kind timeout aim priority service max-attempts"
     rows = [
         ["lookup", ROUTE_HOST, "/lookup/", "safe", "4000ms", "800ms", 2, SERVICE, 3],
@@ -56,7 +56,7 @@
 
 
 class SoakClock(LoopClock):
-    """The clock of the loop, with a time of day that follows it."""
+    """The event loop's clock, with a time of day that follows virtual time."""
 
     start = datetime(2026, 1, 1, tzinfo=UTC)
 
@@ -66,14 +66,17 @@
 
 
 class SoakDaemon(PlatformDaemon):
-    """A daemon whose control channel is in memory, as time is virtual."""
+    """A platform daemon whose control channel is in memory.
+
+    ZeroMQ sockets would run in real time, not in the simulation's virtual time.
+    """
 
     def __init__(self, settings: PlatformSettings, network: MemoryNetwork) -> None:
         self.network = network
         super().__init__(settings, SoakClock())
 
     def make_channel(self) -> InMemoryPeerChannel:
-        """Return a channel of the network in memory."""
+        """Create a control channel on the in-memory network."""
         return InMemoryPeerChannel(
             self.network, self.settings.daemon_id, self.settings.peer_address
         )
@@ -81,11 +84,12 @@
 
 @attrs.define
 class Host:
-    """One machine: a daemon and its backend server.
+    """A simulated host with a daemon and a backend server.
 
-    :param number: tells it from the others.
-    :param daemon: the daemon that runs; ``None`` while the power is off.
-    :param backend: the backend server that runs.
+    :param number: unique number of the host.
+    :param zone: its availability zone.
+    :param daemon: the running daemon; ``None`` while the power is off.
+    :param backend: the running backend server; ``None`` while the power is off.
     :param starts: how often its daemon was started.
     """
 
@@ -97,15 +101,15 @@
 
     @property
     def name(self) -> str:
-        """Return the name of the machine and its daemon."""
+        """Return the name of the host, which is also its daemon's identifier."""
         return f"d{self.number}"
 
 
 class SoakFleet:
-    """Hosts, the store, and what can happen to them.
+    """Hosts and a store, with operations that inject faults.
 
     :param size: number of hosts.
-    :param rng: draws losses of control messages.
+    :param rng: source of random losses of control messages.
     """
 
     def __init__(self, size: int, rng: random.Random) -> None:
@@ -132,18 +136,18 @@
         self.store.put("keyed.op", "config", record)
 
     def power_on(self, host: Host) -> None:
-        """Start the processes of a host."""
+        """Start the backend server and the daemon of a host."""
         detangle.spawn(self.run_backend(host), host=host.name)
         detangle.spawn(self.run_daemon(host), host=host.name)
 
     def power_off(self, host: Host) -> None:
-        """Cut the power of a host: its connections fall silent."""
+        """Power off a host; its connections become unresponsive, they don't close."""
         self.network.receivers.pop(f"{host.name}:8005", None)
         detangle.network().crash(host.name)
         host.daemon = host.backend = None
 
     async def restore_power(self, host: Host) -> None:
-        """Start a host again."""
+        """Power on a host again and start its processes."""
         detangle.network().restart(host.name)
         self.power_on(host)
 
@@ -154,7 +158,7 @@
         await host.daemon.start()
 
     async def restart_daemon(self, host: Host) -> None:
-        """Have a daemon shut down as after SIGTERM, and start the next one."""
+        """Shut a daemon down gracefully, as SIGTERM does, and start a new one."""
         daemon = host.daemon
         if daemon is None:
             return
@@ -165,7 +169,7 @@
 
         restarting = detangle.spawn(shut_down_and_start(), host=host.name)
         await asyncio.wait({restarting})
-        # Its host may lose power meanwhile.
+        # The task is cancelled if the host loses power during the restart.
         if not restarting.cancelled():
             restarting.result()
 
@@ -210,16 +214,16 @@
         try:
             await read_whole(await client.send(request))
         except RequestError:
-            # The daemon is down; the next heartbeat tells again.
+            # The daemon is down; the next heartbeat will register the server again.
             pass
 
     def set_faults(self, host: Host, faults: Faults) -> None:
-        """Have the backend server of a host fail in some way."""
+        """Set the faults of the backend server of a host, if it runs."""
         if host.backend is not None:
             host.backend.faults = faults
 
     def partition(self, host: Host) -> None:
-        """Cut a host off from all other hosts, but not from callers and the store."""
+        """Partition a host from all other hosts, but not from callers and the store."""
         for other in self.hosts:
             if other is not host:
                 detangle.network().disconnect(host.name, other.name)
@@ -227,12 +231,12 @@
                 self.network.rules.cut([other.name], [host.name])
 
     def heal(self) -> None:
-        """Mend all links."""
+        """Restore all links."""
         detangle.network().heal()
         self.network.rules.cuts.clear()
 
     def count_runs(self) -> Counter[str]:
-        """Return how often each request began to run, over all backend servers."""
+        """Return how often each request started to run, over all backend servers."""
         runs: Counter[str] = Counter()
         for backend in self.backends:
             runs.update(backend.counts.started)
@@ -240,7 +244,7 @@
 
 
 def build_settings(host: Host) -> PlatformSettings:
-    """Return the settings of a host's daemon, as the platform would render them."""
+    """Build the settings of a host's daemon, as the platform's templates do."""
     name = host.name
     daemon = DaemonSettings(
         daemon_id=name,
@@ -250,7 +254,8 @@
         peer_address=f"{name}:8005",
         announce_address=f"{name}:8004",
         service=SERVICE,
-        # Identifiers of requests are drawn from it, so no two daemons may share one.
+        # Request identifiers are generated from the seed, so each start of each daemon
+        # needs a seed of its own.
         seed=host.number * MAX_STARTS_PER_HOST + host.starts,
         shutdown_ms=SHUTDOWN_MS,
         shutdown_notice_ms=SHUTDOWN_NOTICE_MS,
--- a/examples/demo.sh
+++ b/examples/demo.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Starts the stand-ins and daemons of the demo, runs the callers, and ends each process
-# that it started by its own id.
+# Starts the simulated platform services and the daemons of the demo, runs the demo
+# traffic, and on exit stops each process that it started, by process id.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 bin=$PWD/$VENV/bin
@@ -49,7 +49,8 @@
     shift
 done <"$folder/logs"
 
-# The callers ask for signals by files of one line: a signal and a daemon.
+# demo_run.py requests signals by writing files of one line: a signal name and a daemon
+# identifier. The loop ends when the folder is removed or cleanup stops it.
 (
     while [ -d "$folder" ]; do
         for file in "$folder"/signal-*; do
--- a/examples/demo_fleet.py
+++ b/examples/demo_fleet.py
@@ -1,7 +1,7 @@
-"""The layout of the demo: both users' fleets on loopback.
+"""Plan the fleets of the demo on loopback, one for each user of the program.
 
-Writes the settings file of each daemon and a plan that the shell reads. It starts
-nothing.
+Writes the settings file of each daemon, the process lists that ``demo.sh`` reads and
+the plan that ``demo_run.py`` reads. Starts no process.
 """
 
 import json
@@ -23,11 +23,11 @@
 
 @attrs.frozen
 class User:
-    """One user of the demo and its services.
+    """An organisation that runs a fleet in the demo.
 
-    :param name: name of the user.
+    :param name: name of the organisation.
     :param zones: its availability zones.
-    :param services: number of backend servers by service.
+    :param services: number of backend servers by service name.
     """
 
     name: str
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class Instance:
-    """One instance: a backend server and the daemon beside it.
+    """An instance: one backend server and the daemon beside it.
 
     :param service: service of the backend server.
     :param backend_address: ``host:port`` of the backend server.
@@ -61,10 +61,10 @@
 
 @attrs.frozen
 class Fleet:
-    """All processes of one user.
+    """All processes of one user's fleet.
 
-    :param user: whose fleet it is.
-    :param log_address: ``host:port`` of its log-service stand-in.
+    :param user: owner of the fleet.
+    :param log_address: ``host:port`` of its simulated log service.
     :param instances: its instances.
     """
 
@@ -74,7 +74,7 @@
 
 
 def plan_fleet(user: User, ports: PortPicker, seed: int) -> Fleet:
-    """Give every process of a user its addresses."""
+    """Assign free addresses to all processes of a user's fleet."""
     log_address = ports.pick()
     count = sum(user.services.values())
     peers = [ports.pick() for _ in range(count)]
@@ -100,7 +100,7 @@
 
 
 def plan_fleets(seed: int) -> list[Fleet]:
-    """Plan the fleets of all users on free ports."""
+    """Plan the fleets of all users, all on different free ports."""
     ports = PortPicker()
     fleets = [plan_fleet(user, ports, seed) for user in USERS]
     ports.release()
@@ -108,7 +108,7 @@
 
 
 def build_backend_settings(instance: Instance, index: int) -> BackendServerSettings:
-    """Return the settings of the backend server stand-in of an instance."""
+    """Build the settings of the simulated backend server of an instance."""
     return BackendServerSettings(
         service=instance.service,
         address=instance.backend_address,
@@ -118,7 +118,7 @@
 
 
 def write_plan(fleets: list[Fleet], folder: pathlib.Path) -> None:
-    """Write settings files, the process lists for the shell and the plan as JSON."""
+    """Write the settings files, the process lists and the plan as JSON."""
     folder.mkdir(parents=True, exist_ok=True)
     for fleet in fleets:
         for instance in fleet.instances:
--- a/examples/demo_run.py
+++ b/examples/demo_run.py
@@ -1,7 +1,7 @@
-"""The run of the demo: traffic, a gray failure, a drain and an edit of the table.
+"""Run the demo: traffic, a gray failure, a drain and an edit of the table.
 
-Everything is counted by the callers and the stand-ins. It starts no process and ends
-none; ``demo.sh`` does.
+All results come from counts of the callers and of the simulated backend servers, not
+of the daemons. ``demo.sh`` starts and stops the processes.
 """
 
 import asyncio
@@ -49,12 +49,14 @@
 
 @attrs.define
 class Measurements:
-    """What the last line shows, apart from the callers' own counts.
-
-    :param detection_ms: from the fault's start until no real request reached the
-        sick backend server for a second; -1 if that did not happen.
-    :param healthy_ejected: healthy targets that a daemon named as ejected.
-    :param config_in_force_ms: from acceptance until all daemons had the edit.
+    """Results in the last line of output that are not counted by the callers.
+
+    :param detection_ms: time from the start of the gray failure to the last real
+        request that failed at the backend server before it got none for
+        ``DETECTION_QUIET_S``; -1 if requests kept reaching it.
+    :param healthy_ejected: healthy targets that any daemon reported as ejected.
+    :param config_in_force_ms: time from the acceptance of the table edit until it was
+        in force at all daemons; -1 if that did not happen in time.
     """
 
     detection_ms: float = -1.0
@@ -63,13 +65,14 @@
 
 
 class Demo:
-    """One run over the fleets of all users.
-
-    :param fleets: where everything is.
-    :param seed: seed of all choices.
-    :param send_signal: has the shell send a signal, by name, to a daemon.
-    :param chaos: whether daemons are killed and frozen and the log goes away
-        instead of the planned changes.
+    """One run of the demo over the fleets of all users.
+
+    :param fleets: the fleets with all addresses.
+    :param seed: seed of all random choices.
+    :param send_signal: requests that ``demo.sh`` sends a signal, given by name, to a
+        daemon, given by its identifier.
+    :param chaos: whether to kill and freeze daemons and make the log services
+        unavailable instead of making the planned changes.
     """
 
     def __init__(
@@ -95,12 +98,13 @@
         ]
 
     def create_callers(self, fleet: Fleet, service: str) -> CallerGroup:
-        """Return the callers of one service."""
+        """Create the callers of one service."""
         entries = [instance.settings.caller_address for instance in fleet.instances]
         instances = [
             instance for instance in fleet.instances if instance.service == service
         ]
-        # Direct lookups spare the servers that fail or leave.
+        # Direct lookups skip the first backend server, which gets the gray failure,
+        # and the last one, which is drained.
         backends = [instance.backend_address for instance in instances[1:-1]]
         return CallerGroup(service, entries, backends, self.seed)
 
@@ -119,7 +123,7 @@
             watcher.cancel()
 
     async def run_planned_changes(self) -> None:
-        """Cause one failure and planned change after the other."""
+        """Cause a gray failure, then a drain, a daemon shutdown and a table edit."""
         print_progress(f"traffic={NORMAL_TRAFFIC_S}s")
         await asyncio.sleep(NORMAL_TRAFFIC_S)
         await self.fail_one_backend_server()
@@ -131,7 +135,7 @@
         await asyncio.sleep(AFTER_EDIT_S)
 
     async def run_chaos(self) -> None:
-        """Freeze and kill daemons while the log goes away and comes back."""
+        """Freeze and kill daemons while the log services fail and recover."""
         rng = random.Random(self.seed)
         await asyncio.sleep(NORMAL_TRAFFIC_S)
         frozen, *killed = rng.sample(range(1, 21), 3)
@@ -164,7 +168,7 @@
             print_progress(f"joined={fleet.user.name} daemons={len(fleet.instances)}")
 
     async def has_joined(self, fleet: Fleet) -> bool:
-        """Return whether all daemons of a fleet are up and know each other."""
+        """Return whether all daemons of a fleet are up, with members and a table."""
         statuses = await self.read_statuses(fleet)
         size = len(fleet.instances)
         return len(statuses) == size and all(
@@ -189,13 +193,13 @@
     async def send_command(
         self, address: str, method: str, path: str, body: bytes = b""
     ) -> dict:
-        """Send a command to a stand-in and return its JSON answer."""
+        """Send a command to a simulated service and return its JSON response."""
         callers = self.callers[0]
         request = callers.build_request(CallerRequest("", method, path, body), address)
         return msgspec.json.decode(await read_whole(await self.client.send(request)))
 
     async def fail_one_backend_server(self) -> None:
-        """Make a backend server fail all real work while its health check passes."""
+        """Make a backend server fail all requests while its health check passes."""
         instance = self.fleets[0].instances[0]
         address = instance.backend_address
         self.failing_target = f"{instance.service}/{address}"
@@ -208,7 +212,7 @@
         )
 
     async def measure_detection(self, address: str) -> None:
-        """Watch how long the sick backend server still gets real requests."""
+        """Measure for how long the failing backend server still gets requests."""
         loop = asyncio.get_running_loop()
         started = last_seen = loop.time()
         failed = 0
@@ -226,7 +230,7 @@
             await asyncio.sleep(POLL_S)
 
     async def drain_one_backend_server(self) -> None:
-        """Have a backend server leave, and check when its last new work came."""
+        """Tell a backend server to announce that it leaves, so that it is drained."""
         instance = self.fleets[1].instances[-1]
         print_progress(f"drain={instance.service}/{instance.backend_address}")
         await self.send_command(instance.backend_address, "POST", "/drain")
@@ -258,7 +262,7 @@
         print_progress(f"edit-not-in-force-at={behind} answered={len(statuses)}")
 
     async def watch_ejections(self) -> None:
-        """Note every healthy target that a daemon names as ejected."""
+        """Record every healthy target that a daemon reports as ejected."""
         while True:
             for fleet in self.fleets:
                 for status in await self.read_statuses(fleet):
@@ -267,9 +271,9 @@
             await asyncio.sleep(1)
 
     async def count_runs(self) -> Counter[str]:
-        """Return how often each request was run, over all stand-ins.
+        """Return how often each request ran, over all simulated backend servers.
 
-        :raises RequestError: if a stand-in does not tell its counts.
+        :raises RequestError: if the counts of a backend server can't be read.
         """
         runs: Counter[str] = Counter()
         for fleet in self.fleets:
@@ -284,7 +288,7 @@
         return runs
 
     async def report(self) -> int:
-        """Print the last line and return the exit code."""
+        """Print the line of results and return the exit code."""
         runs = await self.count_runs()
         all_counts = [callers.counts for callers in self.callers]
         refused = sum((Counter(t.refused) for t in all_counts), Counter())
@@ -314,7 +318,8 @@
             flush=True,
         )
         if self.chaos:
-            # A killed daemon breaks transfers; its callers know that they can't know.
+            # A killed daemon interrupts transfers. That is no violation: the caller
+            # sees that the outcome of its request is unknown.
             del violations["cut"]
         return 1 if any(violations.values()) else 0
 
@@ -322,11 +327,12 @@
 def find_false_not_run_verdicts(
     all_counts: list[CallerCounts], runs: Counter[str]
 ) -> list[str]:
-    """Return the non-idempotent requests of which "not run" was false.
+    """Return the non-idempotent requests that ran despite the verdict "not run".
 
-    A request that was sent twice at the same time may be refused at one daemon and
-    run at the other, so the runs are held against the sendings that were not told
-    "not run". What all sendings of a doubtful request were told is shown.
+    A request that was sent twice at the same time may be refused by one daemon and run
+    by way of another, so a verdict is false only if there were more runs than sends
+    without the verdict "not run". Prints the outcomes of each request that was both
+    refused and run.
     """
     outcomes: dict[str, list[SendOutcome]] = {}
     for counts in all_counts:
@@ -343,7 +349,7 @@
 
 
 def compute_added_latency_ms(all_counts: list[CallerCounts], quantile: float) -> float:
-    """Return a quantile of lookups through the fleet minus that of direct ones."""
+    """Return a latency quantile through the fleet minus that of direct lookups."""
     fleet = sorted(ms for counts in all_counts for ms in counts.fleet_ms)
     direct = sorted(ms for counts in all_counts for ms in counts.direct_ms)
     if not fleet or not direct:
@@ -352,17 +358,17 @@
 
 
 def compute_quantile(ordered: list[float], quantile: float) -> float:
-    """Return a quantile of values in rising order."""
+    """Return a quantile of values that are in ascending order."""
     return ordered[min(len(ordered) - 1, int(len(ordered) * quantile))]
 
 
 def print_progress(text: str) -> None:
-    """Show progress."""
+    """Print a line about the progress of the demo to standard error."""
     print(f"demo {text}", file=sys.stderr, flush=True)
 
 
 async def main(folder: pathlib.Path, seed: int, chaos: bool) -> int:
-    """Run the demo that was planned in a folder."""
+    """Run the demo whose plan ``demo_fleet.py`` wrote to a folder."""
     plan = json.loads((folder / "plan.json").read_text())
     fleets = cattrs.structure(plan, list[Fleet])
 
@@ -378,7 +384,7 @@
 
 
 async def run_script() -> int:
-    """Run with the arguments that the shell gives: seed, folder, chaos."""
+    """Run with the command-line arguments of ``demo.sh``: seed, folder, chaos."""
     seed, folder, chaos = sys.argv[1:]
     return await main(pathlib.Path(folder), int(seed), chaos == "1")
 
--- a/examples/demo_traffic.py
+++ b/examples/demo_traffic.py
@@ -1,4 +1,4 @@
-"""Callers of the demo: real requests, and a check of every answer."""
+"""Send the requests of the demo's callers and check every response."""
 
 import asyncio
 import random
@@ -27,13 +27,13 @@
 
 @attrs.frozen
 class SendOutcome:
-    """What a caller was told about one sending of a request.
+    """How one send of a request ended for its caller.
 
-    :param key: what the caller calls the request.
-    :param verdict: verdict of the daemon; empty if the connection broke.
-    :param reason: reason of a refusal; empty for an answer of a backend server.
+    :param key: the caller's identifier of the request.
+    :param verdict: verdict of the daemon; empty if the response has none.
+    :param reason: reason of a refusal; empty if a backend server responded.
     :param started_s: time of the event loop when it was sent.
-    :param ended_s: time of the event loop when its answer was whole.
+    :param ended_s: time of the event loop when its response was complete.
     """
 
     key: str
@@ -45,19 +45,20 @@
 
 @attrs.define
 class CallerCounts:
-    """What the callers counted.
-
-    :param requests: requests that callers made.
-    :param answered: those that ended with a whole answer of a backend server.
-    :param refused: those that ended with an answer of a daemon, by its reason.
-    :param wrong_answers: answers that belong to another request or are not whole
-        and were given as whole.
+    """Counts and latencies that the callers of a service recorded.
+
+    :param requests: requests sent.
+    :param answered: those with a complete response of a backend server.
+    :param refused: those that got no successful response of a backend server, by the
+        reason.
+    :param wrong_answers: responses that belong to another request, or that are
+        truncated although they were delivered as complete.
     :param interrupted: requests whose connection broke after they were sent.
-    :param interruption_details: what became of each of them, for whoever looks for the cause.
-    :param outcomes: what callers were told about each non-idempotent sending.
+    :param interruption_details: daemon and error of each of them.
+    :param outcomes: outcome of each send of a non-idempotent request.
     :param non_idempotent: keys of all non-idempotent requests.
-    :param fleet_ms: times of lookups through the fleet.
-    :param direct_ms: times of lookups sent straight to a backend server.
+    :param fleet_ms: latencies of lookups through the fleet, in milliseconds.
+    :param direct_ms: latencies of lookups sent directly to a backend server.
     """
 
     requests: int = 0
@@ -72,7 +73,7 @@
     direct_ms: list[float] = attrs.field(factory=list)
 
     def record_interrupted(self, entry: str, error: RequestError) -> None:
-        """Count a request that broke off at a daemon."""
+        """Record a request whose connection to a daemon broke."""
         self.interrupted += 1
         self.interruption_details.append(f"{entry}: {error.reason}: {error}")
 
@@ -81,10 +82,10 @@
 class CallerRequest:
     """One request of a caller.
 
-    :param key: what the caller calls the request; the answer must repeat it.
+    :param key: the caller's identifier of the request; the response must repeat it.
     :param method: HTTP method.
-    :param path: path for the backend server.
-    :param body: whole body.
+    :param path: path at the backend server.
+    :param body: complete body.
     :param headers: further headers.
     """
 
@@ -101,7 +102,7 @@
     :param service: name of the service.
     :param entries: caller addresses of daemons.
     :param backends: addresses of backend servers, for direct lookups.
-    :param seed: seed of all choices.
+    :param seed: seed of all random choices.
     """
 
     def __init__(
@@ -116,9 +117,9 @@
         self.serial = 0
 
     async def run(self, rate: float, stop: asyncio.Event) -> None:
-        """Send requests at a steady rate until stopped, and wait for all to end.
+        """Send requests with Poisson arrivals until stopped; wait for all to end.
 
-        :param rate: requests per second.
+        :param rate: mean requests per second.
         """
         loop = asyncio.get_running_loop()
         next_at = loop.time()
@@ -129,7 +130,7 @@
                 await asyncio.sleep(max(0.0, next_at - loop.time()))
 
     async def send_random_request(self) -> None:
-        """Send one request of a random kind."""
+        """Send one request of a random type."""
         kinds = (
             self.send_lookup,
             self.send_upload,
@@ -140,12 +141,12 @@
         await kind()
 
     def create_key(self) -> str:
-        """Return a name for the next request."""
+        """Return a new identifier of a request."""
         self.serial += 1
         return f"{self.service}-{self.serial}"
 
     async def send_lookup(self) -> None:
-        """Send an idempotent lookup, and one past the fleet for comparison."""
+        """Send an idempotent lookup, and half of the time also a direct one."""
         caller_request = CallerRequest(self.create_key(), "GET", "/lookup/today")
         loop = asyncio.get_running_loop()
         started = loop.time()
@@ -155,7 +156,7 @@
             await self.send_direct_lookup()
 
     async def send_direct_lookup(self) -> None:
-        """Send a lookup straight to a backend server."""
+        """Send a lookup directly to a backend server, to compare latencies."""
         caller_request = CallerRequest(self.create_key(), "GET", "/lookup/today")
         loop = asyncio.get_running_loop()
         started = loop.time()
@@ -178,7 +179,7 @@
         )
 
     async def sign_with_ticket(self) -> None:
-        """Send a non-idempotent request under a ticket, sometimes twice."""
+        """Send a non-idempotent request with a ticket, sometimes twice."""
         entry = self.rng.choice(self.entries)
         request = self.build_request(
             CallerRequest("", "POST", f"/.wagtailstep/tickets/{self.service}"), entry
@@ -191,13 +192,13 @@
         await self.send_signing_request(ticket)
 
     async def sign_with_key(self) -> None:
-        """Send a non-idempotent request under a key of its own, sometimes twice."""
+        """Send a non-idempotent request with an idempotency key, sometimes twice."""
         await self.send_signing_request(
             f"key-{self.service}-{self.rng.getrandbits(64):x}"
         )
 
     async def send_signing_request(self, idempotency_key: str) -> None:
-        """Send a non-idempotent request; three in ten are sent again elsewhere."""
+        """Send a non-idempotent request; 30 % go to two daemons at the same time."""
         key = self.create_key()
         self.counts.non_idempotent.add(key)
         headers = (("idempotency-key", idempotency_key),)
@@ -208,9 +209,9 @@
         await asyncio.gather(*(self.send(caller_request) for _ in range(times)))
 
     async def send(self, caller_request: CallerRequest) -> bool:
-        """Send a request through a daemon; another one if it took no connection.
+        """Send a request to a random daemon, or to the next if it surely didn't run.
 
-        :return: whether a backend server answered it.
+        :return: whether a backend server responded successfully.
         """
         self.counts.requests += 1
         started = asyncio.get_running_loop().time()
@@ -220,7 +221,8 @@
                 answer = await self.client.send(request)
                 body = await read_whole(answer)
             except TruncatedAnswerError as error:
-                # A broken transfer is a true outcome, but not in a planned change.
+                # The error is reported correctly, but planned changes must not
+                # interrupt a transfer.
                 self.counts.record_interrupted(entry, error)
                 return False
             except RequestError as error:
@@ -241,7 +243,7 @@
         started_s: float,
         ended_s: float,
     ) -> None:
-        """Remember what was told about a non-idempotent sending."""
+        """Record the outcome of one send of a non-idempotent request."""
         if caller_request.method != "POST":
             return
         verdict = find_header(answer.headers, "wagtailstep-verdict") or ""
@@ -253,9 +255,9 @@
     def record_answer(
         self, caller_request: CallerRequest, answer: Answer, body: bytes
     ) -> bool:
-        """Count one answer.
+        """Count one response.
 
-        :return: whether a backend server answered the request.
+        :return: whether a backend server responded successfully.
         """
         reason = find_header(answer.headers, "wagtailstep-reason")
         if reason is not None:
@@ -272,7 +274,7 @@
         return True
 
     def build_request(self, caller_request: CallerRequest, address: str) -> HttpRequest:
-        """Return the request for a daemon or a backend server."""
+        """Build the HTTP request for a daemon or a backend server."""
         headers = (
             ("host", address),
             ("wagtailstep-service", self.service),
@@ -295,7 +297,7 @@
 def is_expected_answer(
     caller_request: CallerRequest, answer: Answer, body: bytes
 ) -> bool:
-    """Tell whether an answer is whole and belongs to a request."""
+    """Return whether a response is complete and belongs to a request."""
     digest = find_header(answer.headers, "fake-body-digest")
     return (
         find_header(answer.headers, "fake-key") == caller_request.key
