--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -16,17 +16,17 @@
     FleetShape,
     Load,
     build_fleet,
-    count_lapses,
-    count_missing,
-    measure,
-    pull_everything,
-    restart_daemons,
+    count_lapsed_leases,
+    count_missing_targets,
+    make_fleet_pull_only,
+    measure_load,
+    schedule_restarts,
 )
 from benchmarks.control_memory import MemoryUse, measure_memory
 from benchmarks.report import Report, fit_slope
 from wagtailstep.models.settings import MembershipSettings
 
-PAGE = pathlib.Path("docs/measurements/control.md")
+REPORT_PATH = pathlib.Path("docs/measurements/control.md")
 DESIGN_DAEMONS = 1_800
 DESIGN_SERVICES = 460
 RESTARTS_PER_DAY = 5_800 + 66
@@ -46,14 +46,14 @@
     :param name: what is varied.
     :param shape: the fleet.
     :param settings: how it is set.
-    :param pulls: whether heartbeats are pulled only.
+    :param pull_only: whether heartbeats are pulled only.
     :param restarts: daemons restarted per second.
     """
 
     name: str
     shape: FleetShape
     settings: MembershipSettings = DESIGN_SETTINGS
-    pulls: bool = False
+    pull_only: bool = False
     restarts: int = 0
 
 
@@ -91,7 +91,7 @@
         return sum(self.load.sent.values()) + self.load.received
 
 
-def make_shape(
+def build_shape(
     daemons: int, wants: int = 6, targets_per_service: int = 4
 ) -> FleetShape:
     """Return a fleet with as many services per daemon as the design size has."""
@@ -99,38 +99,38 @@
     return FleetShape(daemons, services, 3, wants, targets_per_service)
 
 
-def make_cases(largest: int) -> list[Case]:
+def build_cases(largest: int) -> list[Case]:
     """Return all cases, the cheap ones first."""
-    today = FleetShape(26, 2, 1, 1, 1)
+    current_shape = FleetShape(26, 2, 1, 1, 1)
     cases = [
-        Case("today", today, DEFAULT_SETTINGS),
-        Case("today, pull only", today, DEFAULT_SETTINGS, pulls=True),
+        Case("today", current_shape, DEFAULT_SETTINGS),
+        Case("today, pull only", current_shape, DEFAULT_SETTINGS, pull_only=True),
     ]
-    cases += [Case("pull only", make_shape(200), pulls=True)]
-    cases += [Case("targets", make_shape(200, 6, count)) for count in (1, 10)]
-    cases += [Case("wanted services", make_shape(200, count)) for count in (0, 12, 24)]
-    cases += [Case("restarts", make_shape(200), restarts=RESTARTS_PER_S)]
-    cases += [Case("default settings", make_shape(200), DEFAULT_SETTINGS)]
+    cases += [Case("pull only", build_shape(200), pull_only=True)]
+    cases += [Case("targets", build_shape(200, 6, count)) for count in (1, 10)]
+    cases += [Case("wanted services", build_shape(200, count)) for count in (0, 12, 24)]
+    cases += [Case("restarts", build_shape(200), restarts=RESTARTS_PER_S)]
+    cases += [Case("default settings", build_shape(200), DEFAULT_SETTINGS)]
     sizes = [count for count in (50, 200, 600, 1_800) if count <= largest]
-    cases += [Case("daemons", make_shape(count)) for count in sizes]
-    return cases + [Case("slower renewals", make_shape(sizes[-1]), SLOW_SETTINGS)]
+    cases += [Case("daemons", build_shape(count)) for count in sizes]
+    return cases + [Case("slower renewals", build_shape(sizes[-1]), SLOW_SETTINGS)]
 
 
 def run_case(case: Case, seed: int) -> Result:
     """Run one fleet and observe some of its daemons."""
     bus = build_fleet(case.shape, case.settings, seed)
-    if case.pulls:
-        pull_everything(bus)
+    if case.pull_only:
+        make_fleet_pull_only(bus)
     if case.restarts:
-        restart_daemons(bus, case.restarts, WARM_UP_S, WARM_UP_S + DURATION_S)
-    load = measure(bus, WARM_UP_S, DURATION_S)
+        schedule_restarts(bus, case.restarts, WARM_UP_S, WARM_UP_S + DURATION_S)
+    load = measure_load(bus, WARM_UP_S, DURATION_S)
     observed = [bus.nodes[name] for name in bus.observed]
     interested = [
         len(node.controllers[1].interest.needed_by_member) for node in observed
     ]
-    missing, needed = count_missing(bus)
+    missing, needed = count_missing_targets(bus)
     mean = sum(interested) / len(interested)
-    lapses = count_lapses(bus) - bus.lapses_before
+    lapses = count_lapsed_leases(bus) - bus.lapses_before
     return Result(case, mean, load, lapses, missing, needed)
 
 
@@ -167,20 +167,28 @@
 ]
 
 
-def summarise(
+def summarize_figures(
     results: list[Result], memory: list[MemoryUse], cost: ChannelCost, report: Report
 ) -> dict[str, float]:
     """Work out slopes and the figures at the design size."""
-    base = [r for r in results if r.case.name in ("daemons", "wanted services")]
-    by_interest = fit_slope([(r.interested, r.total_bytes) for r in base])
-    cpu_slope = fit_slope([(r.interested, r.load.cpu_s * 100) for r in base])
+    interest_results = [
+        r for r in results if r.case.name in ("daemons", "wanted services")
+    ]
+    by_interest = fit_slope([(r.interested, r.total_bytes) for r in interest_results])
+    cpu_slope = fit_slope(
+        [(r.interested, r.load.cpu_s * 100) for r in interest_results]
+    )
     largest = max(
         (r for r in results if r.case.name == "daemons"),
         key=lambda r: r.case.shape.daemons,
     )
-    plain = next(r for r in results if r.case == Case("daemons", make_shape(200)))
-    churned = next(r for r in results if r.case.restarts)
-    per_restart = (churned.total_bytes - plain.total_bytes) / churned.case.restarts
+    without_restarts = next(
+        r for r in results if r.case == Case("daemons", build_shape(200))
+    )
+    with_restarts = next(r for r in results if r.case.restarts)
+    per_restart = (
+        with_restarts.total_bytes - without_restarts.total_bytes
+    ) / with_restarts.case.restarts
     restarts = per_restart * RESTARTS_PER_DAY / 86_400
     channel_cpu = 100 * largest.messages / 2 * cost.seconds_per_message
     table = fit_slope([(use.members, use.table_bytes) for use in memory])
@@ -215,7 +223,7 @@
     memory = [measure_memory(count) for count in (200, 600, 1_800)]
     print(f"memory: {memory}", flush=True)
     results = []
-    for case in make_cases(largest):
+    for case in build_cases(largest):
         results.append(run_case(case, seed))
         print(" ".join(format_result(results[-1])), flush=True)
     report.add_text(
@@ -231,9 +239,9 @@
         ["members", "member table and targets, bytes"],
         [[f"{use.members}", f"{use.table_bytes}"] for use in memory],
     )
-    figures = summarise(results, memory, cost, report)
+    figures = summarize_figures(results, memory, cost, report)
     line = " ".join(f"{key}={value:.2f}" for key, value in figures.items())
-    report.write(PAGE, line)
+    report.write(REPORT_PATH, line)
     print(line)
 
 
--- a/benchmarks/control_bad_hours.py
+++ b/benchmarks/control_bad_hours.py
@@ -12,24 +12,29 @@
 import attrs
 import fire
 
-from benchmarks.control import DESIGN_SETTINGS, make_shape
-from benchmarks.control_fleet import Load, MeasuredBus, build_fleet, restart_one
+from benchmarks.control import DESIGN_SETTINGS, build_shape
+from benchmarks.control_fleet import (
+    Load,
+    MeasuredBus,
+    build_fleet,
+    restart_random_daemon,
+)
 from benchmarks.report import Report
 from wagtailstep.fakes.control_bus import BusNode
 from wagtailstep.models.fleet import MemberState
 
-PAGE = pathlib.Path("docs/measurements/control_bad_hours.md")
+REPORT_PATH = pathlib.Path("docs/measurements/control_bad_hours.md")
 DAEMONS = 200
-ZONES_OF_A_REGION = ("zone-00", "zone-01")
+REGION_ZONES = ("zone-00", "zone-01")
 STEP = timedelta(seconds=0.5)
 SETTLE_S = 8.0
-CUT_S = 40.0
-LIMIT_S = 90.0
+PARTITION_S = 40.0
+TIMEOUT_S = 90.0
 RESTART_STEP_S = 0.25
 
 
 @attrs.frozen
-class BadHour:
+class FaultResult:
     """What was seen.
 
     :param name: what happened.
@@ -48,39 +53,39 @@
 
 
 def run_until(
-    bus: MeasuredBus, name: str, agreed: Callable[[], bool], limit_s: float
-) -> BadHour:
+    bus: MeasuredBus, name: str, has_converged: Callable[[], bool], timeout_s: float
+) -> FaultResult:
     """Let time pass until the fleet agrees or the time is over."""
     started = bus.clock.monotonic()
     rates, cpu_s, seconds = [], 0.0, -1.0
-    while bus.clock.monotonic() - started < timedelta(seconds=limit_s):
+    while bus.clock.monotonic() - started < timedelta(seconds=timeout_s):
         bus.load = Load()
         bus.run(STEP)
         total = sum(bus.load.sent_bytes.values()) + bus.load.received_bytes
         rates.append(total / len(bus.observed) / STEP.total_seconds())
         cpu_s += bus.load.cpu_s / len(bus.observed)
-        if agreed():
+        if has_converged():
             seconds = (bus.clock.monotonic() - started).total_seconds()
             break
     mean = sum(rates) / len(rates)
     cpu = 100 * cpu_s / (len(rates) * STEP.total_seconds())
-    return BadHour(name, seconds, max(rates), mean, cpu)
+    return FaultResult(name, seconds, max(rates), mean, cpu)
 
 
-def of_zones(bus: MeasuredBus, zones: Iterable[str]) -> list[BusNode]:
+def get_daemons_in_zones(bus: MeasuredBus, zones: Iterable[str]) -> list[BusNode]:
     """Return the daemons of some availability zones."""
-    wanted = set(zones)
+    requested_zones = set(zones)
     return [
         node
         for node in bus.nodes.values()
-        if node.blackboard.this_member.availability_zone in wanted
+        if node.blackboard.this_member.availability_zone in requested_zones
     ]
 
 
-def uses_any(nodes: list[BusNode], gone: set[str]) -> bool:
+def use_any_target_of(nodes: list[BusNode], daemon_ids: set[str]) -> bool:
     """Tell whether daemons still use targets beside others."""
     return any(
-        target.daemon_id in gone
+        target.daemon_id in daemon_ids
         for node in nodes
         for target in node.blackboard.targets.values()
     )
@@ -96,7 +101,7 @@
     )
 
 
-def all_know(nodes: list[BusNode]) -> bool:
+def all_consider_alive(nodes: list[BusNode]) -> bool:
     """Tell whether daemons all hold each other for alive."""
     names = {node.daemon_id for node in nodes}
     return all(
@@ -109,83 +114,92 @@
     return sum(len(node.blackboard.targets) for node in nodes)
 
 
-def lose_zone(bus: MeasuredBus) -> list[BadHour]:
+def lose_zone(bus: MeasuredBus) -> list[FaultResult]:
     """End all daemons of a zone at once."""
-    lost = of_zones(bus, ["zone-00"])
-    names = {node.daemon_id for node in lost}
-    rest = [node for node in bus.nodes.values() if node.daemon_id not in names]
+    lost_nodes = get_daemons_in_zones(bus, ["zone-00"])
+    names = {node.daemon_id for node in lost_nodes}
+    surviving_nodes = [
+        node for node in bus.nodes.values() if node.daemon_id not in names
+    ]
     bus.observed -= names
-    for node in lost:
+    for node in lost_nodes:
         bus.stop(node.daemon_id)
     return [
         run_until(
             bus,
-            f"zone of {len(lost)} daemons lost: none of its targets in use",
-            lambda: not uses_any(rest, names),
-            LIMIT_S,
+            f"zone of {len(lost_nodes)} daemons lost: none of its targets in use",
+            lambda: not use_any_target_of(surviving_nodes, names),
+            TIMEOUT_S,
         ),
         run_until(
             bus,
             "zone lost: all its daemons known to be dead",
-            lambda: all_have_state(rest, names, MemberState.DEAD),
-            LIMIT_S,
+            lambda: all_have_state(surviving_nodes, names, MemberState.DEAD),
+            TIMEOUT_S,
         ),
     ]
 
 
-def lose_region(bus: MeasuredBus) -> list[BadHour]:
+def lose_region(bus: MeasuredBus) -> list[FaultResult]:
     """Cut a region off both ways and mend the cut."""
-    inside = of_zones(bus, ZONES_OF_A_REGION)
+    inside = get_daemons_in_zones(bus, REGION_ZONES)
     names = {node.daemon_id for node in inside}
     outside = [node for node in bus.nodes.values() if node.daemon_id not in names]
-    others = {node.daemon_id for node in outside}
-    bus.rules.cut(sorted(names), sorted(others))
-    bus.rules.cut(sorted(others), sorted(names))
+    outside_names = {node.daemon_id for node in outside}
+    bus.rules.cut(sorted(names), sorted(outside_names))
+    bus.rules.cut(sorted(outside_names), sorted(names))
     used = count_targets(outside + inside)
-    hours = [
+    results = [
         run_until(
             bus,
             f"region of {len(inside)} daemons cut: no target across the cut in use",
-            lambda: not (uses_any(outside, names) or uses_any(inside, others)),
-            LIMIT_S,
+            lambda: (
+                not (
+                    use_any_target_of(outside, names)
+                    or use_any_target_of(inside, outside_names)
+                )
+            ),
+            TIMEOUT_S,
+        ),
+        run_until(
+            bus, f"region cut: the next {PARTITION_S:.0f} s", lambda: False, PARTITION_S
         ),
-        run_until(bus, f"region cut: the next {CUT_S:.0f} s", lambda: False, CUT_S),
     ]
     bus.rules.cuts.clear()
-    hours.append(
+    results.append(
         run_until(
             bus,
             "region back: 99 % of the targets in use again",
             lambda: count_targets(outside + inside) >= 0.99 * used,
-            LIMIT_S,
+            TIMEOUT_S,
         )
     )
-    hours.append(
+    results.append(
         run_until(
             bus,
             "region back: all daemons hold each other for alive",
-            lambda: all_know(outside + inside),
-            LIMIT_S,
+            lambda: all_consider_alive(outside + inside),
+            TIMEOUT_S,
         )
     )
-    return hours
+    return results
 
 
-def restart_all(bus: MeasuredBus) -> list[BadHour]:
+def restart_all(bus: MeasuredBus) -> list[FaultResult]:
     """Restart as many daemons as there are, in turns of an even rate."""
     bus.load = Load()
     count = DAEMONS // 2
-    planned = iter(range(count))
+    remaining_restarts = iter(range(count))
 
     def restart_next() -> bool:
         for _ in range(round(STEP.total_seconds() / RESTART_STEP_S)):
-            if next(planned, None) is None:
+            if next(remaining_restarts, None) is None:
                 return True
-            restart_one(bus)
+            restart_random_daemon(bus)
         return False
 
     name = f"{1 / RESTART_STEP_S:.0f} restarts/s for {count * RESTART_STEP_S:.0f} s"
-    return [run_until(bus, name, restart_next, LIMIT_S)]
+    return [run_until(bus, name, restart_next, TIMEOUT_S)]
 
 
 def main(seed: int = 1) -> None:
@@ -194,40 +208,40 @@
     :param seed: seed of all random choices.
     """
     report = Report("Bad hours of the control plane", "control_bad_hours", seed)
-    hours: list[BadHour] = []
-    for happen in (lose_zone, lose_region, restart_all):
-        bus = build_fleet(make_shape(DAEMONS), DESIGN_SETTINGS, seed)
-        hours.append(
-            run_until(bus, f"before: {happen.__name__}", lambda: False, SETTLE_S)
+    results: list[FaultResult] = []
+    for cause_fault in (lose_zone, lose_region, restart_all):
+        bus = build_fleet(build_shape(DAEMONS), DESIGN_SETTINGS, seed)
+        results.append(
+            run_until(bus, f"before: {cause_fault.__name__}", lambda: False, SETTLE_S)
         )
-        hours += happen(bus)
-        print(hours, flush=True)
+        results += cause_fault(bus)
+        print(results, flush=True)
     report.add_text(
         f"{DAEMONS} daemons in 14 zones, renew {DESIGN_SETTINGS.renew_ms} ms, lease "
         f"{DESIGN_SETTINGS.lease_ms} ms. Bytes are sent and received together, of one "
         "daemon. A time of -1 means that it did not end within the time watched."
     )
-    headings = [field.name for field in attrs.fields(BadHour)]
+    headings = [field.name for field in attrs.fields(FaultResult)]
     rows = [
         [
-            hour.name,
-            f"{hour.seconds:.1f}",
-            f"{hour.peak_bytes:.0f}",
-            f"{hour.mean_bytes:.0f}",
-            f"{hour.cpu_percent:.2f}",
+            result.name,
+            f"{result.seconds:.1f}",
+            f"{result.peak_bytes:.0f}",
+            f"{result.mean_bytes:.0f}",
+            f"{result.cpu_percent:.2f}",
         ]
-        for hour in hours
+        for result in results
     ]
     report.add_table(headings, rows)
     line = (
-        f"zone_lost_lapse_s={hours[1].seconds:.1f} "
-        f"zone_lost_dead_s={hours[2].seconds:.1f} "
-        f"region_cut_lapse_s={hours[4].seconds:.1f} "
-        f"region_back_targets_s={hours[6].seconds:.1f} "
-        f"region_back_members_s={hours[7].seconds:.1f} "
-        f"peak_bytes_per_s={max(hour.peak_bytes for hour in hours):.0f}"
+        f"zone_lost_lapse_s={results[1].seconds:.1f} "
+        f"zone_lost_dead_s={results[2].seconds:.1f} "
+        f"region_cut_lapse_s={results[4].seconds:.1f} "
+        f"region_back_targets_s={results[6].seconds:.1f} "
+        f"region_back_members_s={results[7].seconds:.1f} "
+        f"peak_bytes_per_s={max(result.peak_bytes for result in results):.0f}"
     )
-    report.write(PAGE, line)
+    report.write(REPORT_PATH, line)
     print(line)
 
 
--- a/benchmarks/control_channel.py
+++ b/benchmarks/control_channel.py
@@ -13,10 +13,10 @@
 from wagtailstep.utils.clock import LoopClock
 from wagtailstep.utils.codec import encode_message
 
-MESSAGES = 4_000
-BURST = 8
+MESSAGE_COUNT = 4_000
+BURST_SIZE = 8
 BURST_INTERVAL_S = 0.01
-CONNECTIONS = 200
+CONNECTION_COUNT = 200
 
 
 @attrs.frozen
@@ -31,7 +31,7 @@
     seconds_per_connection: float
 
 
-def make_channel(daemon_id: str) -> ZeroMqPeerChannel:
+def create_channel(daemon_id: str) -> ZeroMqPeerChannel:
     """Make a channel on a free port of loopback."""
     address = "127.0.0.1:0"
     settings = DaemonSettings(daemon_id, "bole", address, address, address, address)
@@ -40,39 +40,43 @@
 
 async def run_channels() -> ChannelCost:
     """Send messages between two channels of this process."""
-    sender, receiver = make_channel("sender"), make_channel("receiver")
-    await sender.start(ignore)
-    await receiver.start(ignore)
+    sender, receiver = create_channel("sender"), create_channel("receiver")
+    await sender.start(discard_message)
+    await receiver.start(discard_message)
     rows = tuple(range(40))
     body = encode_message(Digest(1, rows))
     message = StampedMessage(1_000_000, body)
-    idle = await measure_cpu(lambda: None, 50)
-    busy = await measure_cpu(
-        lambda: send_burst(sender, receiver.address, message), MESSAGES // BURST
+    idle_cpu_s = await measure_cpu(lambda: None, 50)
+    busy_cpu_s = await measure_cpu(
+        lambda: send_burst(sender, receiver.address, message),
+        MESSAGE_COUNT // BURST_SIZE,
     )
-    per_pause = idle / 50
-    used = busy - per_pause * (MESSAGES // BURST)
-    reopened = await measure_cpu(
-        lambda: reopen(sender, receiver.address, message), CONNECTIONS
+    cpu_per_pause_s = idle_cpu_s / 50
+    message_cpu_s = busy_cpu_s - cpu_per_pause_s * (MESSAGE_COUNT // BURST_SIZE)
+    reopen_cpu_s = await measure_cpu(
+        lambda: send_on_new_connection(sender, receiver.address, message),
+        CONNECTION_COUNT,
     )
-    per_message = used / max(1, receiver.counters.received)
-    per_connection = reopened / CONNECTIONS - per_pause - per_message
+    per_message = message_cpu_s / max(1, receiver.counters.received)
+    per_connection = reopen_cpu_s / CONNECTION_COUNT - cpu_per_pause_s - per_message
     await sender.close()
     await receiver.close()
     return ChannelCost(per_message, per_connection)
 
 
-def ignore(sender: str, message: object) -> None:
+def discard_message(sender: str, message: object) -> None:
     """Take a message and do nothing."""
 
 
 def send_burst(sender: ZeroMqPeerChannel, address: str, message: object) -> None:
     """Send a few messages."""
-    for _ in range(BURST):
+    for _ in range(BURST_SIZE):
         sender.send(address, message)
 
 
-def reopen(sender: ZeroMqPeerChannel, address: str, message: object) -> None:
+def send_on_new_connection(
+    sender: ZeroMqPeerChannel, address: str, message: object
+) -> None:
     """Send one message on a new connection."""
     connection = sender.connections.pop(address, None)
     if connection is not None:
--- a/benchmarks/control_daemons.py
+++ b/benchmarks/control_daemons.py
@@ -27,15 +27,15 @@
     MembershipSettings,
 )
 
-PAGE = pathlib.Path("docs/measurements/control_daemons.md")
+REPORT_PATH = pathlib.Path("docs/measurements/control_daemons.md")
 SIZES = (4, 16, 32, 64)
 WARM_UP_S = 12.0
 DURATION_S = 20.0
-END_LIMIT_S = 60.0
-HELPER_START_S = 1.5
-ATTEMPTS = 4
+STOP_TIMEOUT_S = 60.0
+HELPER_STARTUP_S = 1.5
+MAX_ATTEMPTS = 4
 HOST = "127.0.0.1"
-PROGRAM = "from wagtailstep.cli.{name} import main; main()"
+PROGRAM_CODE = "from wagtailstep.cli.{name} import main; main()"
 
 
 @attrs.frozen
@@ -83,7 +83,7 @@
 
 def start_program(name: str, *arguments: str, output: pathlib.Path) -> subprocess.Popen:
     """Start one of the programs of the package."""
-    command = [sys.executable, "-c", PROGRAM.format(name=name), *arguments]
+    command = [sys.executable, "-c", PROGRAM_CODE.format(name=name), *arguments]
     with output.open("w") as file:
         return subprocess.Popen(command, stdout=file, stderr=subprocess.STDOUT)
 
@@ -109,12 +109,12 @@
     return {key: float(value) for key, value in pairs}
 
 
-def end(process: subprocess.Popen) -> None:
+def stop_process(process: subprocess.Popen) -> None:
     """End a process by its own id."""
     if process.poll() is None:
         process.send_signal(signal.SIGTERM)
     try:
-        process.wait(END_LIMIT_S)
+        process.wait(STOP_TIMEOUT_S)
     except subprocess.TimeoutExpired:
         process.kill()
         process.wait()
@@ -147,26 +147,26 @@
     ]
     processes = {}
     try:
-        time.sleep(HELPER_START_S)
+        time.sleep(HELPER_STARTUP_S)
         for daemon in daemons:
             file = folder / f"{daemon.daemon_id}.json"
             file.write_text(json.dumps(attrs.asdict(daemon)))
             output = folder / f"{daemon.daemon_id}.out"
             processes[output] = start_program("daemon", "run", str(file), output=output)
-        loads = observe(processes)
-        helpers_lived = all(helper.poll() is None for helper in helpers)
-        return loads if helpers_lived else []
+        loads = measure_daemons(processes)
+        helpers_running = all(helper.poll() is None for helper in helpers)
+        return loads if helpers_running else []
     finally:
         for process in [*processes.values(), *helpers]:
-            end(process)
+            stop_process(process)
 
 
-def run_until_whole(count: int, seed: int) -> list[ProcessLoad]:
+def run_with_retries(count: int, seed: int) -> list[ProcessLoad]:
     """Run a fleet again if a stand-in lost its port to another process.
 
     :raises RuntimeError: if that happened each time.
     """
-    for _ in range(ATTEMPTS):
+    for _ in range(MAX_ATTEMPTS):
         with tempfile.TemporaryDirectory() as folder:
             loads = run_size(count, seed, pathlib.Path(folder))
         if loads:
@@ -175,21 +175,23 @@
     raise RuntimeError(f"the stand-ins for {count} daemons did not stay up")
 
 
-def observe(processes: dict[pathlib.Path, subprocess.Popen]) -> list[ProcessLoad]:
+def measure_daemons(
+    processes: dict[pathlib.Path, subprocess.Popen],
+) -> list[ProcessLoad]:
     """Measure running daemons, end them, and read what their channels carried."""
     started = time.monotonic()
     time.sleep(WARM_UP_S)
-    processes = drop_ended(processes)
-    before = {path: read_cpu_s(each.pid) for path, each in processes.items()}
+    processes = remove_exited(processes)
+    before = {path: read_cpu_s(process.pid) for path, process in processes.items()}
     time.sleep(DURATION_S)
-    processes = drop_ended(processes)
-    after = {path: read_cpu_s(each.pid) for path, each in processes.items()}
-    memory = {path: read_memory_mb(each.pid) for path, each in processes.items()}
+    processes = remove_exited(processes)
+    after = {path: read_cpu_s(process.pid) for path, process in processes.items()}
+    memory = {path: read_memory_mb(process.pid) for path, process in processes.items()}
     lifetime = time.monotonic() - started
     for process in processes.values():
         process.send_signal(signal.SIGTERM)
     for process in processes.values():
-        end(process)
+        stop_process(process)
     loads = []
     for path in processes:
         counters = read_counters(path)
@@ -208,7 +210,7 @@
     return loads
 
 
-def drop_ended(
+def remove_exited(
     processes: dict[pathlib.Path, subprocess.Popen],
 ) -> dict[pathlib.Path, subprocess.Popen]:
     """Leave out daemons that have ended, and print their last line."""
@@ -216,7 +218,9 @@
         if process.poll() is not None:
             last = path.read_text().splitlines()[-1:]
             print(f"ended early: {path.stem} {last}", flush=True)
-    return {path: each for path, each in processes.items() if each.poll() is None}
+    return {
+        path: process for path, process in processes.items() if process.poll() is None
+    }
 
 
 def mean(loads: list[ProcessLoad], name: str) -> float:
@@ -234,7 +238,7 @@
     names = [field.name for field in attrs.fields(ProcessLoad)]
     rows, points = [], []
     for count in sizes:
-        loads = run_until_whole(count, seed)
+        loads = run_with_retries(count, seed)
         figures = {name: mean(loads, name) for name in names}
         rows.append([str(len(loads)), *(f"{figures[name]:.2f}" for name in names)])
         points.append((count, figures))
@@ -259,7 +263,7 @@
         f"cpu_percent_per_daemon={cpu[1]:.4f} "
         f"resident_mb_per_daemon={memory[1]:.4f}"
     )
-    report.write(PAGE, line)
+    report.write(REPORT_PATH, line)
     print(line)
 
 
--- a/benchmarks/control_fleet.py
+++ b/benchmarks/control_fleet.py
@@ -18,7 +18,7 @@
 from wagtailstep.models.settings import MembershipSettings
 from wagtailstep.utils.codec import decode_message, encode_message
 
-OBSERVED = 6
+OBSERVED_DAEMON_COUNT = 6
 LAMPORT_EXAMPLE = 1_000_000
 
 
@@ -35,14 +35,14 @@
 
     daemons: int
     services: int
-    serves: int
-    wants: int
+    served_per_daemon: int
+    requested_per_daemon: int
     targets_per_service: int
 
     @property
     def targets(self) -> int:
         """Return the number of targets of the fleet."""
-        return self.daemons * self.serves * self.targets_per_service
+        return self.daemons * self.served_per_daemon * self.targets_per_service
 
 
 @attrs.define
@@ -144,11 +144,13 @@
     for index in range(shape.daemons):
         first = index * shape.serves
         serves = [name_service(first + i, shape) for i in range(shape.serves)]
-        others = [
+        other_indices = [
             i for i in range(shape.services) if name_service(i, shape) not in serves
         ]
-        picked = rng.sample(others, min(shape.wants, len(others)))
-        wanted = [name_service(i, shape) for i in picked]
+        requested_indices = rng.sample(
+            other_indices, min(shape.wants, len(other_indices))
+        )
+        wanted = [name_service(i, shape) for i in requested_indices]
         node = bus.add(
             f"daemon-{index:04d}",
             settings,
@@ -157,11 +159,13 @@
             zone=f"zone-{index % 14:02d}",
             targets_per_service=shape.targets_per_service,
         )
-        introduce(node, tuple(sorted(set(serves))), tuple(sorted(wanted)))
+        set_services(node, tuple(sorted(set(serves))), tuple(sorted(wanted)))
     members = {name: node.blackboard.this_member for name, node in bus.nodes.items()}
     for node in bus.nodes.values():
         node.blackboard.members.update(members)
-    bus.observed = set(rng.sample(sorted(bus.nodes), min(OBSERVED, shape.daemons)))
+    bus.observed = set(
+        rng.sample(sorted(bus.nodes), min(OBSERVED_DAEMON_COUNT, shape.daemons))
+    )
     return bus
 
 
@@ -170,7 +174,9 @@
     return f"service-{index % shape.services:03d}"
 
 
-def introduce(node: BusNode, serves: tuple[str, ...], wants: tuple[str, ...]) -> None:
+def set_services(
+    node: BusNode, serves: tuple[str, ...], wants: tuple[str, ...]
+) -> None:
     """Fill in the services of a daemon as if it had announced them."""
     member = attrs.evolve(
         node.blackboard.this_member, serves=serves, services=serves + wants
@@ -179,16 +185,16 @@
     node.blackboard.members[node.daemon_id] = member
 
 
-def measure(bus: MeasuredBus, warm_up_s: float, duration_s: float) -> Load:
+def measure_load(bus: MeasuredBus, warm_up_s: float, duration_s: float) -> Load:
     """Run a fleet and return the load of one observed daemon, per second."""
     run_with_restarts(bus, warm_up_s)
     bus.load = Load()
-    bus.lapses_before = count_lapses(bus)
+    bus.lapses_before = count_lapsed_leases(bus)
     run_with_restarts(bus, duration_s)
-    return scale(bus.load, 1.0 / (duration_s * len(bus.observed)))
+    return scale_load(bus.load, 1.0 / (duration_s * len(bus.observed)))
 
 
-def restart_daemons(
+def schedule_restarts(
     bus: MeasuredBus, per_second: int, start_s: float, end_s: float
 ) -> None:
     """Plan restarts of daemons that are not observed, at a steady rate."""
@@ -203,33 +209,33 @@
     end = bus.clock.monotonic() + timedelta(seconds=duration_s)
     while bus.restarts and bus.restarts[0] < end:
         bus.run(bus.restarts.pop(0) - bus.clock.monotonic())
-        restart_one(bus)
+        restart_random_daemon(bus)
     bus.run(end - bus.clock.monotonic())
 
 
-def restart_one(bus: MeasuredBus) -> None:
+def restart_random_daemon(bus: MeasuredBus) -> None:
     """Replace a daemon by one of the same name that knows one other daemon."""
     names = sorted(name for name in bus.nodes if name not in bus.observed)
     daemon_id = bus.rng.choice(names)
-    old = bus.nodes[daemon_id]
-    old.running = False
+    old_node = bus.nodes[daemon_id]
+    old_node.running = False
     seed = bus.nodes[bus.rng.choice(names)].address
-    settings = attrs.evolve(old.controllers[0].settings, seeds=(seed,))
-    this = old.blackboard.this_member
-    services = sorted({target.service for target in old.announced.values()})
-    wanted = [name for name in this.services if name not in services]
-    per_service = len(old.announced) // len(services)
+    settings = attrs.evolve(old_node.controllers[0].settings, seeds=(seed,))
+    local_member = old_node.blackboard.this_member
+    services = sorted({target.service for target in old_node.announced.values()})
+    wanted = [name for name in local_member.services if name not in services]
+    per_service = len(old_node.announced) // len(services)
     bus.add(
         daemon_id,
         settings,
         services,
         wanted,
-        zone=this.availability_zone,
+        zone=local_member.availability_zone,
         targets_per_service=per_service,
     )
 
 
-def scale(load: Load, factor: float) -> Load:
+def scale_load(load: Load, factor: float) -> Load:
     """Return a load multiplied by a factor."""
     return Load(
         sent=Counter({k: v * factor for k, v in load.sent.items()}),
@@ -240,7 +246,7 @@
     )
 
 
-def count_missing(bus: MeasuredBus) -> tuple[int, int]:
+def count_missing_targets(bus: MeasuredBus) -> tuple[int, int]:
     """Return how many targets observed daemons lack, and how many they need."""
     missing = needed = 0
     targets = [t for node in bus.nodes.values() for t in node.announced.values()]
@@ -252,7 +258,7 @@
     return missing, needed
 
 
-def count_lapses(bus: MeasuredBus) -> int:
+def count_lapsed_leases(bus: MeasuredBus) -> int:
     """Return the leases of observed daemons that lapsed so far."""
     return sum(
         event.kind == "targets-lapsed"
@@ -261,16 +267,16 @@
     )
 
 
-class SilentQueue(DigestQueue):
+class PullOnlyQueue(DigestQueue):
     """A queue that sends no digests unasked, so that all heartbeats are pulled."""
 
     def add(self, daemon_id: str, services: frozenset[str]) -> None:
         """Send nothing."""
 
 
-def pull_everything(bus: MeasuredBus) -> None:
+def make_fleet_pull_only(bus: MeasuredBus) -> None:
     """Make all daemons of a fleet pull heartbeats instead of pushing them."""
     for node in bus.nodes.values():
         controller = node.controllers[1]
         queue = controller.digests
-        controller.digests = SilentQueue(queue.settings, queue.interest, queue.rng)
+        controller.digests = PullOnlyQueue(queue.settings, queue.interest, queue.rng)
--- a/benchmarks/control_memory.py
+++ b/benchmarks/control_memory.py
@@ -23,9 +23,9 @@
 
 SERVICES = 460
 SERVICES_PER_DAEMON = 9
-SERVED = 3
+SERVED_PER_DAEMON = 3
 TARGETS_PER_SERVICE = 4
-PAGE = 40
+PAGE_SIZE = 40
 
 
 @attrs.frozen
@@ -40,13 +40,13 @@
     table_bytes: int
 
 
-def make_entry(index: int) -> MemberEntry:
+def build_entry(index: int) -> MemberEntry:
     """Return the entry of a daemon, decoded as one from the network is."""
-    first = index * SERVED
-    names = [f"service-{(first + i) % SERVICES:03d}" for i in range(SERVED)]
+    first = index * SERVED_PER_DAEMON
+    names = [f"service-{(first + i) % SERVICES:03d}" for i in range(SERVED_PER_DAEMON)]
     wants = [
         f"service-{(first + 7 * i + 11) % SERVICES:03d}"
-        for i in range(SERVICES_PER_DAEMON - SERVED)
+        for i in range(SERVICES_PER_DAEMON - SERVED_PER_DAEMON)
     ]
     entry = MemberEntry(
         f"daemon-{index:04d}",
@@ -62,7 +62,7 @@
     return msgspec.msgpack.decode(data, type=MemberEntry)
 
 
-def make_update(entry: MemberEntry) -> TargetsUpdate:
+def build_update(entry: MemberEntry) -> TargetsUpdate:
     """Return the targets beside a daemon."""
     targets = [
         TargetEntry(f"{service}/{entry.daemon_id}.test:{8000 + port}", 4, 1, 1)
@@ -80,7 +80,9 @@
     )
 
 
-def fill(members: int) -> tuple[MembershipController, DisseminationController]:
+def create_filled_controllers(
+    members: int,
+) -> tuple[MembershipController, DisseminationController]:
     """Let one daemon hear of a whole fleet, and of the targets that concern it."""
     settings = DaemonSettings(
         "observed", "bole", "a:1", "a:2", "a:3", "127.0.0.1:4", log_level="ERROR"
@@ -91,26 +93,28 @@
     clock, rng = ManualClock(), random.Random(1)
     membership = MembershipController(settings, board, clock, rng)
     dissemination = DisseminationController(settings, board, clock, rng)
-    for start in range(0, members, PAGE):
-        entries = tuple(make_entry(i) for i in range(start, min(start + PAGE, members)))
+    for start in range(0, members, PAGE_SIZE):
+        entries = tuple(
+            build_entry(i) for i in range(start, min(start + PAGE_SIZE, members))
+        )
         page = MembersPage("", entries, "")
         membership.handle(PeerMessageReceived("daemon-0000", page))
     dissemination.handle(Tick())
     for index in range(members):
-        entry = make_entry(index)
+        entry = build_entry(index)
         if entry.daemon_id in dissemination.interest.needed_by_member:
-            event = PeerMessageReceived(entry.daemon_id, make_update(entry))
+            event = PeerMessageReceived(entry.daemon_id, build_update(entry))
             dissemination.handle(event)
     return membership, dissemination
 
 
 def measure_memory(members: int) -> MemoryUse:
     """Return the memory that a member table of some size takes."""
-    fill(10)
+    create_filled_controllers(10)
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    controllers = fill(members)
+    controllers = create_filled_controllers(members)
     gc.collect()
     used = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
--- a/benchmarks/detection.py
+++ b/benchmarks/detection.py
@@ -16,17 +16,17 @@
 import fire
 
 from benchmarks.detection_baselines import ConsecutiveFailures, HealthEndpoint
-from benchmarks.detection_faults import HARD, NOBODY_SICK, Fault
+from benchmarks.detection_faults import FAULTS_WITHOUT_FAULTY_TARGET, HARD_FAULTS, Fault
+from benchmarks.detection_simulation import Scenario, Simulation, create_controllers
 from benchmarks.detection_users import ADDIS, HOKKAIDO
-from benchmarks.detection_world import Scenario, World, make_controllers
 
-REPORT = pathlib.Path(__file__).parent.parent / "docs/measurements/detection.md"
+REPORT_PATH = pathlib.Path(__file__).parent.parent / "docs/measurements/detection.md"
 WORKERS = 4
 AFTER_DETECTION_S = 2.0
-WATCH_S = 10.0
-SHORT_WATCH_S = {Fault.OVERLOAD: 3.0}
+OBSERVATION_S = 10.0
+SHORT_OBSERVATION_S = {Fault.OVERLOAD: 3.0}
 POLICIES = {
-    "wagtailstep": make_controllers,
+    "wagtailstep": create_controllers,
     "consecutive": lambda *args: [ConsecutiveFailures(*args)],
     "health": lambda *args: [HealthEndpoint(*args)],
 }
@@ -55,7 +55,7 @@
     :param false_ejections: healthy targets taken out by all or most daemons.
     :param target_hours: simulated time of healthy targets.
     :param lowest_weight: lowest weight in service, in any view or for the union.
-    :param floor_broken: samples with less weight than the floor.
+    :param floor_violations: samples with less weight than the floor.
     """
 
     user: str
@@ -69,15 +69,18 @@
     false_ejections: int
     target_hours: float
     lowest_weight: float
-    floor_broken: int
+    floor_violations: int
 
 
 def run_job(job: Job) -> Result:
     """Run one job."""
-    world = World(job.scenario, job.seed, POLICIES[job.policy])
-    world.run(lambda w: is_over(w))
-    longest = job.scenario.end_s - job.scenario.onset_s
-    times = [world.detected_at.get(name, longest) for name in world.sick]
+    simulation = Simulation(job.scenario, job.seed, POLICIES[job.policy])
+    simulation.run(lambda w: is_complete(w))
+    observed_s = job.scenario.end_s - job.scenario.onset_s
+    times = [
+        simulation.detected_at.get(name, observed_s)
+        for name in simulation.faulty_targets
+    ]
     return Result(
         user=job.user,
         policy=job.policy,
@@ -85,32 +88,37 @@
         fault=job.scenario.fault,
         seed=job.seed,
         times_ms=tuple(round(time * 1_000, 1) for time in times),
-        missed=len(world.sick) - len(world.detected_at),
-        sent=sum(world.targets[name].sent for name in world.sick),
-        false_ejections=world.false_ejections,
-        target_hours=world.now * len(world.targets) / 3_600,
-        lowest_weight=world.lowest_weight,
-        floor_broken=world.floor_broken,
+        missed=len(simulation.faulty_targets) - len(simulation.detected_at),
+        sent=sum(simulation.targets[name].sent for name in simulation.faulty_targets),
+        false_ejections=simulation.false_ejections,
+        target_hours=simulation.now * len(simulation.targets) / 3_600,
+        lowest_weight=simulation.lowest_weight,
+        floor_violations=simulation.floor_violations,
     )
 
 
-def is_over(world: World) -> bool:
+def is_complete(simulation: Simulation) -> bool:
     """Tell whether all that is to be seen of a run was seen."""
-    if not world.all_detected() or world.scenario.fault in NOBODY_SICK:
+    if (
+        not simulation.all_detected()
+        or simulation.scenario.fault in FAULTS_WITHOUT_FAULTY_TARGET
+    ):
         return False
-    last = world.scenario.onset_s + max(world.detected_at.values())
-    return world.now > last + AFTER_DETECTION_S
+    last = simulation.scenario.onset_s + max(simulation.detected_at.values())
+    return simulation.now > last + AFTER_DETECTION_S
 
 
-def make_jobs(seed: int, runs: int) -> list[Job]:
+def build_jobs(seed: int, runs: int) -> list[Job]:
     """Return all jobs, the longest first."""
     jobs = []
     for user, services in (("addis", ADDIS), ("hokkaido", HOKKAIDO)):
         for service in services:
             for fault, policy in itertools.product(Fault, POLICIES):
                 scenario = attrs.evolve(service, fault=fault)
-                if fault in NOBODY_SICK or policy != "wagtailstep":
-                    end_s = scenario.onset_s + SHORT_WATCH_S.get(fault, WATCH_S)
+                if fault in FAULTS_WITHOUT_FAULTY_TARGET or policy != "wagtailstep":
+                    end_s = scenario.onset_s + SHORT_OBSERVATION_S.get(
+                        fault, OBSERVATION_S
+                    )
                     scenario = attrs.evolve(scenario, end_s=end_s)
                 jobs += [
                     Job(user, policy, scenario, seed * 1_000 + run)
@@ -119,34 +127,36 @@
     return jobs
 
 
-def percentile(values: Iterable[float], share: float) -> float:
+def percentile(values: Iterable[float], fraction: float) -> float:
     """Return a percentile by nearest rank, NaN for no values."""
     ordered = sorted(values)
     if not ordered:
         return math.nan
-    return ordered[max(0, math.ceil(share * len(ordered)) - 1)]
+    return ordered[max(0, math.ceil(fraction * len(ordered)) - 1)]
 
 
-def write_row(results: list[Result], floor: float) -> str:
+def format_row(results: list[Result], floor: float) -> str:
     """Return one row of the table."""
     first = results[0]
     times = [time for result in results for time in result.times_ms]
-    sick = first.fault not in NOBODY_SICK
+    has_faulty_targets = first.fault not in FAULTS_WITHOUT_FAULTY_TARGET
     hours = sum(r.target_hours for r in results)
-    false = sum(r.false_ejections for r in results)
+    false_ejections = sum(r.false_ejections for r in results)
     missed = sum(r.missed for r in results)
     cells = [
         first.user,
         first.service,
         first.fault.value,
         first.policy,
-        f"{percentile(times, 0.5):.0f}" if sick else "-",
-        f"{percentile(times, 0.99):.0f}" if sick else "-",
-        f"{missed}/{len(times)}" if sick else "-",
-        f"{sum(r.sent for r in results) / len(results):.1f}" if sick else "-",
-        f"{false} ({false / hours:.2f})",
+        f"{percentile(times, 0.5):.0f}" if has_faulty_targets else "-",
+        f"{percentile(times, 0.99):.0f}" if has_faulty_targets else "-",
+        f"{missed}/{len(times)}" if has_faulty_targets else "-",
+        f"{sum(r.sent for r in results) / len(results):.1f}"
+        if has_faulty_targets
+        else "-",
+        f"{false_ejections} ({false_ejections / hours:.2f})",
         f"{min(r.lowest_weight for r in results):g}/{floor:g}",
-        str(sum(r.floor_broken for r in results)),
+        str(sum(r.floor_violations for r in results)),
     ]
     return "| " + " | ".join(cells) + " |"
 
@@ -178,10 +188,10 @@
         scenario = next(
             s for s in (*ADDIS, *HOKKAIDO) if s.row.service == group[0].service
         )
-        lines.append(write_row(group, scenario.row.floor_weight))
+        lines.append(format_row(group, scenario.row.floor_weight))
     lines += ["", f"`{last}`", ""]
-    REPORT.parent.mkdir(parents=True, exist_ok=True)
-    REPORT.write_text("\n".join(lines))
+    REPORT_PATH.parent.mkdir(parents=True, exist_ok=True)
+    REPORT_PATH.write_text("\n".join(lines))
 
 
 def group_results(results: list[Result]) -> list[list[Result]]:
@@ -196,27 +206,30 @@
 def summarize(results: list[Result]) -> str:
     """Return the line of key=value pairs that the users asked for."""
 
-    def pick(user: str, policy: str) -> list[Result]:
+    def select_results(user: str, policy: str) -> list[Result]:
         return [r for r in results if (r.user, r.policy) == (user, policy)]
 
-    def p99(chosen: list[Result], faults: Iterable[Fault]) -> str:
-        wanted = set(faults)
-        times = [t for r in chosen if r.fault in wanted for t in r.times_ms]
+    def p99(selected: list[Result], faults: Iterable[Fault]) -> str:
+        selected_faults = set(faults)
+        times = [t for r in selected if r.fault in selected_faults for t in r.times_ms]
         return f"{percentile(times, 0.99):.0f}"
 
-    def count_false(chosen: list[Result]) -> int:
-        return sum(r.false_ejections for r in chosen)
+    def count_false(selected: list[Result]) -> int:
+        return sum(r.false_ejections for r in selected)
 
-    addis, hokkaido = pick("addis", "wagtailstep"), pick("hokkaido", "wagtailstep")
+    addis, hokkaido = (
+        select_results("addis", "wagtailstep"),
+        select_results("hokkaido", "wagtailstep"),
+    )
     baseline = [r for r in results if r.policy == "consecutive"]
     return (
-        f"addis_hard_p99_ms={p99(addis, HARD)} "
+        f"addis_hard_p99_ms={p99(addis, HARD_FAULTS)} "
         f"addis_straggler_p99_ms={p99(addis, [Fault.STRAGGLER_3])} "
         f"addis_false_ejections={count_false(addis)} "
-        f"hokkaido_hard_p99_ms={p99(hokkaido, HARD)} "
+        f"hokkaido_hard_p99_ms={p99(hokkaido, HARD_FAULTS)} "
         f"hokkaido_false_ejections={count_false(hokkaido)} "
-        f"floor_broken={sum(r.floor_broken for r in addis + hokkaido)} "
-        f"baseline_hard_p99_ms={p99(baseline, HARD)} "
+        f"floor_broken={sum(r.floor_violations for r in addis + hokkaido)} "
+        f"baseline_hard_p99_ms={p99(baseline, HARD_FAULTS)} "
         f"baseline_false_ejections={count_false(baseline)}"
     )
 
@@ -228,15 +241,17 @@
     :param runs: runs of each scenario; 30 are wanted and take about 25 minutes.
     :param write: whether to write the table under docs/measurements.
     """
-    jobs = make_jobs(seed, runs)
+    jobs = build_jobs(seed, runs)
     results = []
     with multiprocessing.Pool(WORKERS) as pool:
-        for done, result in enumerate(pool.imap(run_job, jobs, chunksize=4), start=1):
+        for completed, result in enumerate(
+            pool.imap(run_job, jobs, chunksize=4), start=1
+        ):
             results.append(result)
-            if done % 200 == 0:
-                print(f"{done} of {len(jobs)} runs", flush=True)
+            if completed % 200 == 0:
+                print(f"{completed} of {len(jobs)} runs", flush=True)
     for group in group_results(results):
-        print(write_row(group, 0.0))
+        print(format_row(group, 0.0))
     last = summarize(results)
     if write:
         write_report(results, seed, runs, last)
--- a/benchmarks/detection_baselines.py
+++ b/benchmarks/detection_baselines.py
@@ -12,8 +12,8 @@
 from wagtailstep.models.settings import DaemonSettings
 from wagtailstep.utils.clock import Clock
 
-CONSECUTIVE_FAILURES = 5
-TIME_OUT_S = 30.0
+MIN_CONSECUTIVE_FAILURES = 5
+AVOIDANCE_S = 30.0
 HEALTH_INTERVAL_S = 2.0
 UNHEALTHY_AFTER = 3
 HEALTHY_AFTER = 2
@@ -47,9 +47,9 @@
             return []
         count = self.failures.get(event.target_id, 0) + 1
         self.failures[event.target_id] = count
-        if count >= CONSECUTIVE_FAILURES:
+        if count >= MIN_CONSECUTIVE_FAILURES:
             now = self.clock.monotonic()
-            self.until[event.target_id] = now + timedelta(seconds=TIME_OUT_S)
+            self.until[event.target_id] = now + timedelta(seconds=AVOIDANCE_S)
             self.blackboard.health[event.target_id] = TargetHealth(steer_away=True)
         return []
 
--- a/benchmarks/detection_cost.py
+++ b/benchmarks/detection_cost.py
@@ -15,8 +15,8 @@
 import attrs
 import fire
 
+from benchmarks.detection_simulation import Simulation
 from benchmarks.detection_users import ADDIS
-from benchmarks.detection_world import World
 from wagtailstep.controllers.evidence import EvidenceController
 from wagtailstep.models.blackboard import Blackboard
 from wagtailstep.models.events import Tick
@@ -26,13 +26,15 @@
 from wagtailstep.models.verdict import Verdict
 from wagtailstep.utils.clock import ManualClock
 
-REPORT = pathlib.Path(__file__).parent.parent / "docs/measurements/detection_cost.md"
-OUTCOMES = 20_000
-TICKS = 300
+REPORT_PATH = (
+    pathlib.Path(__file__).parent.parent / "docs/measurements/detection_cost.md"
+)
+OUTCOME_COUNT = 20_000
+TICK_COUNT = 300
 OUTCOMES_PER_S = 200
-ROUTES = 3
+ROUTE_COUNT = 3
 SIZES = ((20, 1), (80, 2), (320, 8), (960, 24))
-DAEMONS = (13, 26, 52)
+DAEMON_COUNTS = (13, 26, 52)
 
 
 @attrs.frozen
@@ -53,21 +55,23 @@
     kilobytes: float
 
 
-def make_controller(
+def create_controller(
     targets: int, services: int, seed: int
 ) -> tuple[EvidenceController, ManualClock, list[str]]:
     """Make a controller that knows targets of several services."""
     names = [f"s{number % services}/10.0.{number}.1:80" for number in range(targets)]
-    known = {
+    targets_by_name = {
         name: Target(name, name.partition("/")[0], f"d{number}", f"z{number % 3}")
         for number, name in enumerate(names)
     }
-    wanted = tuple(f"s{number}" for number in range(services))
+    requested_services = tuple(f"s{number}" for number in range(services))
     members = {
-        f"d{number}": Member(f"d{number}", 0, f"d{number}", "", "z0", wanted)
+        f"d{number}": Member(
+            f"d{number}", 0, f"d{number}", "", "z0", requested_services
+        )
         for number in range(26)
     }
-    board = Blackboard(members["d0"], members=members, targets=known)
+    board = Blackboard(members["d0"], members=members, targets=targets_by_name)
     addresses = [f"127.0.0.1:{port}" for port in range(9_001, 9_005)]
     settings = DaemonSettings("d0", "z0", *addresses)
     clock = ManualClock()
@@ -75,7 +79,7 @@
     return controller, clock, names
 
 
-def make_outcome(name: str, route: int, rng: random.Random) -> RequestOutcome:
+def build_outcome(name: str, route: int, rng: random.Random) -> RequestOutcome:
     """Make the outcome of a request that went well."""
     service = name.partition("/")[0]
     request = RequestContext(
@@ -88,15 +92,15 @@
 def measure_size(targets: int, services: int, seed: int) -> Cost:
     """Measure the cost at one size."""
     rng = random.Random(seed)
-    controller, clock, names = make_controller(targets, services, seed)
+    controller, clock, names = create_controller(targets, services, seed)
     outcomes = [
-        make_outcome(rng.choice(names), rng.randrange(ROUTES), rng)
-        for _ in range(OUTCOMES)
+        build_outcome(rng.choice(names), rng.randrange(ROUTE_COUNT), rng)
+        for _ in range(OUTCOME_COUNT)
     ]
     tracemalloc.start()
     for name in names:
-        for route in range(ROUTES):
-            controller.handle(make_outcome(name, route, rng))
+        for route in range(ROUTE_COUNT):
+            controller.handle(build_outcome(name, route, rng))
     kilobytes = tracemalloc.get_traced_memory()[0] / 1_000
     tracemalloc.stop()
     step = timedelta(seconds=1 / OUTCOMES_PER_S)
@@ -104,20 +108,20 @@
     for outcome in outcomes:
         clock.advance(step)
         controller.handle(outcome)
-    outcome_us = (time.process_time() - started) / OUTCOMES * 1e6
+    outcome_us = (time.process_time() - started) / OUTCOME_COUNT * 1e6
     started = time.process_time()
-    for _ in range(TICKS):
+    for _ in range(TICK_COUNT):
         clock.advance(timedelta(milliseconds=100))
         controller.handle(Tick())
-    tick_us = (time.process_time() - started) / TICKS * 1e6
+    tick_us = (time.process_time() - started) / TICK_COUNT * 1e6
     return Cost(targets, services, outcome_us, tick_us, kilobytes)
 
 
 def measure_bytes(daemons: int, seed: int) -> float:
     """Return bytes a second that a daemon sends while all targets are healthy."""
     scenario = attrs.evolve(ADDIS[0], daemons=daemons, end_s=10.0)
-    world = World(scenario, seed).run()
-    return world.bytes_sent / scenario.end_s / daemons
+    simulation = Simulation(scenario, seed).run()
+    return simulation.bytes_sent / scenario.end_s / daemons
 
 
 def main(seed: int = 1) -> None:
@@ -133,17 +137,17 @@
         "",
         f"`python -m benchmarks.detection_cost --seed={seed}`, commit {commit}, "
         f"{platform.machine()}, Python {platform.python_version()}; processor time. "
-        f"{ROUTES} routes a service; memory of all targets, and of one on one route.",
+        f"{ROUTE_COUNT} routes a service; memory of all targets, and of one on one route.",
         "",
         "| targets | services | us an outcome | us a tick | kB | kB a route |",
         "|---|---|---|---|---|---|",
     ]
     for targets, services in SIZES:
         cost = measure_size(targets, services, seed)
-        each = cost.kilobytes / targets / ROUTES
+        kilobytes_per_route = cost.kilobytes / targets / ROUTE_COUNT
         lines.append(
             f"| {targets} | {services} | {cost.outcome_us:.1f} | {cost.tick_us:.0f} "
-            f"| {cost.kilobytes:.0f} | {each:.2f} |"
+            f"| {cost.kilobytes:.0f} | {kilobytes_per_route:.2f} |"
         )
         print(lines[-1], flush=True)
     lines += [
@@ -154,10 +158,10 @@
         "| daemons | bytes a second |",
         "|---|---|",
     ]
-    for daemons in DAEMONS:
+    for daemons in DAEMON_COUNTS:
         lines.append(f"| {daemons} | {measure_bytes(daemons, seed):.0f} |")
         print(lines[-1], flush=True)
-    REPORT.write_text("\n".join([*lines, ""]))
+    REPORT_PATH.write_text("\n".join([*lines, ""]))
 
 
 if __name__ == "__main__":
--- a/benchmarks/detection_faults.py
+++ b/benchmarks/detection_faults.py
@@ -7,8 +7,8 @@
 ROUTES = (("lookup", 0.70, 0.015), ("sign", 0.20, 0.030), ("deposit", 0.10, 0.040))
 BACKGROUND_ERRORS = 0.002
 LATENCY_SIGMA = 0.5
-PAUSE_EVERY_S = 60.0
-PAUSE_MAX_S = 0.25
+MEAN_PAUSE_INTERVAL_S = 60.0
+MAX_PAUSE_S = 0.25
 
 
 class Fault(enum.Enum):
@@ -33,7 +33,7 @@
     TWO = "two-together"
 
 
-HARD = (
+HARD_FAULTS = (
     Fault.FAILS_WORK,
     Fault.HANGS,
     Fault.ONE_ROUTE,
@@ -43,7 +43,7 @@
     Fault.TWO,
 )
 PARTITIONS = (Fault.PARTITION_TO, Fault.PARTITION_FROM)
-NOBODY_SICK = (
+FAULTS_WITHOUT_FAULTY_TARGET = (
     Fault.NONE,
     Fault.ZONE_SLOW,
     Fault.OVERLOAD,
@@ -70,16 +70,16 @@
     lost: bool = False
 
 
-def behave_under(
-    fault: Fault, age_s: float, route: str, draw: float, second: bool
+def get_fault_behaviour(
+    fault: Fault, age_s: float, route: str, draw: float, is_second_target: bool
 ) -> Behaviour:
     """Return how a request fares at the faulty target.
 
     :param age_s: seconds since the onset of the fault.
     :param draw: random number from 0 to 1.
-    :param second: whether this is the second of two faulty targets.
+    :param is_second_target: whether this is the second of two faulty targets.
     """
-    if second:
+    if is_second_target:
         return Behaviour(factor=10.0)
     if fault in (Fault.FAILS_WORK, Fault.TWO):
         return Behaviour(failed=draw < 0.95)
@@ -93,8 +93,8 @@
         return Behaviour(factor=10.0)
     if fault in FLAP_PERIOD_S:
         period = FLAP_PERIOD_S[fault]
-        sick = age_s % period < period / 2
-        return Behaviour(failed=sick and draw < 0.95)
+        is_failing = age_s % period < period / 2
+        return Behaviour(failed=is_failing and draw < 0.95)
     if fault is Fault.SILENT:
         return Behaviour(lost=age_s < 10.0 and draw < 0.3)
     if fault is Fault.COLD_START:
--- a/benchmarks/detection_noise.py
+++ b/benchmarks/detection_noise.py
@@ -12,24 +12,31 @@
 import fire
 
 from benchmarks.detection_faults import Fault
+from benchmarks.detection_simulation import Simulation
 from benchmarks.detection_users import HOKKAIDO
-from benchmarks.detection_world import World
 
 WORKERS = 4
 RUN_S = 300.0
-DAEMONS = 10
+DAEMON_COUNT = 10
 MAX_RUNS = 10_000
 
 
-def run_seed(seed: int) -> tuple[float, int, int, int]:
+def simulate_seed(seed: int) -> tuple[float, int, int, int]:
     """Run one seed.
 
     :return: target-hours, false ejections, avoidances by one daemon, floor breaches.
     """
-    scenario = attrs.evolve(HOKKAIDO[0], fault=Fault.NONE, daemons=DAEMONS, end_s=RUN_S)
-    world = World(scenario, seed).run()
-    hours = world.now * len(world.targets) / 3_600
-    return hours, world.false_ejections, world.false_avoidances, world.floor_broken
+    scenario = attrs.evolve(
+        HOKKAIDO[0], fault=Fault.NONE, daemons=DAEMON_COUNT, end_s=RUN_S
+    )
+    simulation = Simulation(scenario, seed).run()
+    hours = simulation.now * len(simulation.targets) / 3_600
+    return (
+        hours,
+        simulation.false_ejections,
+        simulation.false_avoidances_by_one_daemon,
+        simulation.floor_violations,
+    )
 
 
 def main(seed: int = 1, minutes: float = 3.0) -> None:
@@ -43,7 +50,7 @@
     runs = 0
     seeds = range(seed * 1_000_000, seed * 1_000_000 + MAX_RUNS)
     with multiprocessing.Pool(WORKERS) as pool:
-        for result in pool.imap(run_seed, seeds):
+        for result in pool.imap(simulate_seed, seeds):
             runs += 1
             totals = [sum(pair) for pair in zip(totals, result, strict=True)]
             if runs % 8 == 0:
@@ -51,10 +58,10 @@
             if time.monotonic() - started > minutes * 60:
                 break
         pool.terminate()
-    hours, false, avoidances, broken = totals
+    hours, false_ejections, avoidances, floor_violations = totals
     print(
-        f"runs={runs} target_hours={hours:.1f} false_ejections={false} "
-        f"avoidances_by_one_daemon={avoidances} floor_broken={broken}"
+        f"runs={runs} target_hours={hours:.1f} false_ejections={false_ejections} "
+        f"avoidances_by_one_daemon={avoidances} floor_broken={floor_violations}"
     )
 
 
--- a/benchmarks/detection_world.py
+++ b/benchmarks/detection_simulation.py
@@ -17,16 +17,16 @@
 
 from benchmarks.detection_faults import (
     BACKGROUND_ERRORS,
+    FAULTS_WITHOUT_FAULTY_TARGET,
     LATENCY_SIGMA,
-    NOBODY_SICK,
+    MAX_PAUSE_S,
+    MEAN_PAUSE_INTERVAL_S,
     OVERLOAD_FACTOR,
     PARTITIONS,
-    PAUSE_EVERY_S,
-    PAUSE_MAX_S,
     ROUTES,
     Behaviour,
     Fault,
-    behave_under,
+    get_fault_behaviour,
 )
 from wagtailstep.controllers.ejection import EjectionController
 from wagtailstep.controllers.evidence import EvidenceController
@@ -52,15 +52,15 @@
 from wagtailstep.utils.clock import ManualClock
 from wagtailstep.utils.codec import encode_message
 
-TICK_S = 0.1
-MEASURE_S = 0.04
-POLL_S = 0.5
-APPEND_S = 0.01
+TICK_INTERVAL_S = 0.1
+SAMPLE_INTERVAL_S = 0.04
+POLL_INTERVAL_S = 0.5
+APPEND_LATENCY_S = 0.01
 ATTEMPT_TIMEOUT_S = 1.0
-HANG_S = 30.0
+HANG_TIMEOUT_S = 30.0
 QUEUE_TIMEOUT_S = 1.0
 SLOTS = 4
-PROBE_S = 0.025
+PROBE_LATENCY_S = 0.025
 
 
 @attrs.frozen
@@ -69,7 +69,7 @@
 
     :param row: row of the service, with floor and the two detection settings.
     :param zones: availability zones; targets are spread over them in turn.
-    :param hop_s: one-way delay between zones in seconds.
+    :param zone_delay_s: one-way delay between zones in seconds.
     :param targets: number of targets.
     :param daemons: number of daemons that callers ask.
     :param rate: requests per second and target.
@@ -80,7 +80,7 @@
 
     row: ServiceRow
     zones: tuple[str, ...]
-    hop_s: float
+    zone_delay_s: float
     targets: int = 20
     daemons: int = 26
     rate: float = 20.0
@@ -106,9 +106,9 @@
     def run(self, arrival: float, work_s: float, rng: random.Random) -> tuple:
         """Run a request and return its start and end, or ``None`` if shed."""
         if arrival >= self.next_pause:
-            pause = rng.uniform(0.02, PAUSE_MAX_S)
+            pause = rng.uniform(0.02, MAX_PAUSE_S)
             self.free_at = [max(at, arrival + pause) for at in self.free_at]
-            self.next_pause = arrival + rng.expovariate(1 / PAUSE_EVERY_S)
+            self.next_pause = arrival + rng.expovariate(1 / MEAN_PAUSE_INTERVAL_S)
             heapq.heapify(self.free_at)
         start = max(arrival, self.free_at[0])
         if start - arrival > QUEUE_TIMEOUT_S:
@@ -124,12 +124,12 @@
     member: Member
     board: Blackboard
     controllers: list[Any]
-    choices: list[str] = attrs.field(factory=list)
+    candidates: list[str] = attrs.field(factory=list)
     avoided: set[str] = attrs.field(factory=set)
     offset: int = 0
 
 
-class World:
+class Simulation:
     """The fleet of one scenario.
 
     :param scenario: what to simulate.
@@ -148,39 +148,39 @@
         self.clock = ManualClock()
         self.now = 0.0
         self.queue: list[tuple] = []
-        self.order = itertools.count()
+        self.sequence_numbers = itertools.count()
         self.stream: list[LogRecord] = []
-        self.log_up = True
+        self.log_available = True
         self.bytes_sent = 0
         self.messages_sent = 0
-        self.targets = self.make_targets()
+        self.targets = self.create_targets()
         self.table = Table(version=1, services={scenario.row.service: scenario.row})
-        self.daemons = self.make_daemons(policy or make_controllers)
-        self.sick = self.choose_sick()
+        self.daemons = self.create_daemons(policy or create_controllers)
+        self.faulty_targets = self.choose_faulty_targets()
         self.detected_at: dict[str, float] = {}
-        self.known_to: dict[str, set[str]] = {}
+        self.avoiding_daemons: dict[str, set[str]] = {}
         self.false_ejections = 0
-        self.false_avoidances = 0
-        self.out_before: set[str] = set()
-        self.avoid_before: set[tuple[str, str]] = set()
+        self.false_avoidances_by_one_daemon = 0
+        self.removed_before: set[str] = set()
+        self.avoided_pairs_before: set[tuple[str, str]] = set()
         self.lowest_weight = math.inf
-        self.floor_broken = 0
+        self.floor_violations = 0
         self.requests = 0
         self.events: list[tuple[float, str, RecordEvent]] = []
         self.restarted = False
 
-    def make_targets(self) -> dict[str, FakeTarget]:
+    def create_targets(self) -> dict[str, FakeTarget]:
         """Make the targets of the service."""
-        found = {}
+        targets = {}
         for number in range(self.scenario.targets):
             name = f"{self.scenario.row.service}/10.0.0.{number + 1}:80"
             zone = self.scenario.zones[number % len(self.scenario.zones)]
             target = Target(name, self.scenario.row.service, f"d{number:02d}", zone)
-            pause = self.rng.expovariate(1 / PAUSE_EVERY_S)
-            found[name] = FakeTarget(target, [0.0] * SLOTS, pause)
-        return found
+            pause = self.rng.expovariate(1 / MEAN_PAUSE_INTERVAL_S)
+            targets[name] = FakeTarget(target, [0.0] * SLOTS, pause)
+        return targets
 
-    def make_daemons(self, policy: Callable[..., list[Any]]) -> dict[str, FakeDaemon]:
+    def create_daemons(self, policy: Callable[..., list[Any]]) -> dict[str, FakeDaemon]:
         """Make the daemons with their controllers."""
         service = self.scenario.row.service
         members = {}
@@ -190,7 +190,9 @@
             members[name] = Member(name, 0, name, name, zone, (service,))
         daemons = {}
         for name, member in members.items():
-            targets = {key: fake.target for key, fake in self.targets.items()}
+            targets = {
+                key: fake_target.target for key, fake_target in self.targets.items()
+            }
             board = Blackboard(
                 member, table=self.table, members=members, targets=targets
             )
@@ -201,32 +203,38 @@
             daemons[name] = FakeDaemon(member, board, controllers)
         return daemons
 
-    def choose_sick(self) -> list[str]:
+    def choose_faulty_targets(self) -> list[str]:
         """Choose the targets that the fault strikes."""
         names = list(self.targets)
         fault = self.scenario.fault
         if fault is Fault.ZONE_SLOW:
             zone = self.scenario.zones[0]
-            return [n for n in names if zone == self.zone_of(n)]
+            return [n for n in names if zone == self.get_zone(n)]
         if fault in (Fault.NONE, Fault.OVERLOAD):
             return []
         return self.rng.sample(names, 2 if fault is Fault.TWO else 1)
 
-    def zone_of(self, target_id: str) -> str:
+    def get_zone(self, target_id: str) -> str:
         """Return the zone of a target."""
         return self.targets[target_id].target.availability_zone
 
-    def after(self, delay: float, action: Callable[[], None]) -> None:
+    def schedule(self, delay: float, action: Callable[[], None]) -> None:
         """Run an action later."""
-        heapq.heappush(self.queue, (self.now + delay, next(self.order), action))
+        heapq.heappush(
+            self.queue, (self.now + delay, next(self.sequence_numbers), action)
+        )
 
     def run(self, stop: Callable[["World"], bool] | None = None) -> "World":
         """Run to the end of the scenario, or until ``stop`` says so."""
         for daemon in self.daemons.values():
-            self.after(self.rng.random() * TICK_S, lambda d=daemon: self.tick(d))
-            self.after(self.rng.random() * POLL_S, lambda d=daemon: self.poll(d))
-        self.after(0.0, self.arrive)
-        self.after(TICK_S, self.measure)
+            self.schedule(
+                self.rng.random() * TICK_INTERVAL_S, lambda d=daemon: self.tick(d)
+            )
+            self.schedule(
+                self.rng.random() * POLL_INTERVAL_S, lambda d=daemon: self.poll(d)
+            )
+        self.schedule(0.0, self.handle_arrival)
+        self.schedule(TICK_INTERVAL_S, self.sample_metrics)
         while self.queue and self.queue[0][0] <= self.scenario.end_s:
             at, _, action = heapq.heappop(self.queue)
             self.now = at
@@ -243,7 +251,7 @@
             for effect in effects:
                 self.apply(daemon, effect)
             if effects:
-                self.refresh_choices(daemon)
+                self.refresh_candidates(daemon)
 
     def apply(self, daemon: FakeDaemon, effect: Any) -> None:
         """Carry out one effect."""
@@ -252,10 +260,10 @@
             self.messages_sent += 1
             peer = self.daemons[effect.address]
             event = PeerMessageReceived(daemon.member.daemon_id, effect.message)
-            hop = self.scenario.hop_s + 0.001
-            self.after(hop, lambda: self.dispatch(peer, event))
+            network_delay_s = self.scenario.zone_delay_s + 0.001
+            self.schedule(network_delay_s, lambda: self.dispatch(peer, event))
         elif isinstance(effect, AppendToLog):
-            self.after(APPEND_S, lambda: self.append(daemon, effect))
+            self.schedule(APPEND_LATENCY_S, lambda: self.append(daemon, effect))
         elif isinstance(effect, ProbeTarget):
             self.probe(daemon, effect)
         elif isinstance(effect, RecordEvent):
@@ -264,15 +272,19 @@
     def probe(self, daemon: FakeDaemon, effect: ProbeTarget) -> None:
         """Probe a target: it answers well unless a partition is in between."""
         name = effect.target_id
-        begun = self.now >= self.scenario.onset_s
-        cut = begun and self.scenario.fault in PARTITIONS and self.is_cut(daemon, name)
-        time_s = effect.timeout.total_seconds() if cut else PROBE_S
-        event = ProbeFinished(name, not cut, timedelta(seconds=time_s))
-        self.after(time_s, lambda: self.dispatch(daemon, event))
+        has_started = self.now >= self.scenario.onset_s
+        partitioned = (
+            has_started
+            and self.scenario.fault in PARTITIONS
+            and self.is_partitioned(daemon, name)
+        )
+        time_s = effect.timeout.total_seconds() if partitioned else PROBE_LATENCY_S
+        event = ProbeFinished(name, not partitioned, timedelta(seconds=time_s))
+        self.schedule(time_s, lambda: self.dispatch(daemon, event))
 
     def append(self, daemon: FakeDaemon, effect: AppendToLog) -> None:
         """Append a record if the log is up; the appender reads at once."""
-        if not self.log_up:
+        if not self.log_available:
             return
         data = encode_message(effect.record)
         self.stream.append(LogRecord(len(self.stream), data))
@@ -280,8 +292,10 @@
 
     def poll(self, daemon: FakeDaemon) -> None:
         """Read the stream and go on polling."""
-        self.after(POLL_S * self.rng.uniform(0.75, 1.25), lambda: self.poll(daemon))
-        if self.log_up:
+        self.schedule(
+            POLL_INTERVAL_S * self.rng.uniform(0.75, 1.25), lambda: self.poll(daemon)
+        )
+        if self.log_available:
             self.read(daemon)
 
     def read(self, daemon: FakeDaemon) -> None:
@@ -294,15 +308,15 @@
         self.dispatch(
             daemon, LogCaughtUp(stream, daemon.offset, self.clock.monotonic())
         )
-        self.refresh_choices(daemon)
+        self.refresh_candidates(daemon)
 
     def tick(self, daemon: FakeDaemon) -> None:
         """Let time pass for one daemon."""
-        self.after(TICK_S, lambda: self.tick(daemon))
+        self.schedule(TICK_INTERVAL_S, lambda: self.tick(daemon))
         self.dispatch(daemon, Tick())
-        self.refresh_choices(daemon)
+        self.refresh_candidates(daemon)
 
-    def refresh_choices(self, daemon: FakeDaemon) -> None:
+    def refresh_candidates(self, daemon: FakeDaemon) -> None:
         """Work out which targets a daemon picks from, within the floor."""
         board = daemon.board
         weights = dict.fromkeys(self.targets, 1.0)
@@ -313,26 +327,26 @@
             weights.pop(name, None)
         avoided = select_removable(weights, steered, self.scenario.row.floor_weight)
         daemon.avoided = {*board.ejected, *avoided}
-        daemon.choices = [n for n in self.targets if n not in daemon.avoided]
+        daemon.candidates = [n for n in self.targets if n not in daemon.avoided]
 
-    def arrive(self) -> None:
+    def handle_arrival(self) -> None:
         """Take a caller's request at a random daemon."""
         rate = self.scenario.rate * len(self.targets)
         overloaded = self.scenario.fault is Fault.OVERLOAD
         if overloaded and self.now >= self.scenario.onset_s:
             rate *= OVERLOAD_FACTOR
-        self.after(self.rng.expovariate(rate), self.arrive)
+        self.schedule(self.rng.expovariate(rate), self.handle_arrival)
         daemon = self.rng.choice(list(self.daemons.values()))
-        if daemon.choices:
-            self.send(daemon, self.pick(daemon))
+        if daemon.candidates:
+            self.send(daemon, self.choose_target(daemon))
 
-    def pick(self, daemon: FakeDaemon) -> str:
+    def choose_target(self, daemon: FakeDaemon) -> str:
         """Choose the better one of two random targets."""
-        first = self.rng.choice(daemon.choices)
-        second = self.rng.choice(daemon.choices)
-        return min(first, second, key=lambda name: self.cost(daemon, name))
+        first = self.rng.choice(daemon.candidates)
+        second = self.rng.choice(daemon.candidates)
+        return min(first, second, key=lambda name: self.compute_cost(daemon, name))
 
-    def cost(self, daemon: FakeDaemon, name: str) -> float:
+    def compute_cost(self, daemon: FakeDaemon, name: str) -> float:
         """Return the cost of picking a target."""
         waiting = daemon.board.in_flight.by_target.get(name, 0) + 1
         health = daemon.board.health.get(name)
@@ -343,39 +357,61 @@
     def send(self, daemon: FakeDaemon, name: str) -> None:
         """Send a request to a target and schedule its outcome."""
         self.requests += 1
-        fake = self.targets[name]
-        if name in self.sick and self.now >= self.scenario.onset_s:
-            if daemon in self.concerned(name):
-                fake.sent += 1
+        fake_target = self.targets[name]
+        if name in self.faulty_targets and self.now >= self.scenario.onset_s:
+            if daemon in self.affected_daemons(name):
+                fake_target.sent += 1
         draw, route, median = self.rng.random(), *self.choose_route()
-        how = self.behaviour(daemon, name, route, draw)
-        near = fake.target.availability_zone == daemon.member.availability_zone
-        hop = 0.0002 if near else self.scenario.hop_s
+        behaviour = self.get_request_behaviour(daemon, name, route, draw)
+        same_zone = (
+            fake_target.target.availability_zone == daemon.member.availability_zone
+        )
+        network_delay_s = 0.0002 if same_zone else self.scenario.zone_delay_s
         sent_at = self.now
         daemon.board.in_flight.by_target[name] = (
             daemon.board.in_flight.by_target.get(name, 0) + 1
         )
-        if how.lost:
-            self.finish(
-                daemon, name, route, self.blame_loss(), sent_at, self.loss_time(), 0.0
+        if behaviour.lost:
+            self.schedule_outcome(
+                daemon,
+                name,
+                route,
+                self.choose_loss_blame(),
+                sent_at,
+                self.compute_loss_time_s(),
+                0.0,
             )
             return
-        work = median * math.exp(self.rng.gauss(0, LATENCY_SIGMA)) * how.factor
-        if how.failed:
+        work = median * math.exp(self.rng.gauss(0, LATENCY_SIGMA)) * behaviour.factor
+        if behaviour.failed:
             work = 0.005
-        ran = fake.run(self.now + hop, work, self.rng)
-        if ran is None:
-            self.finish(
-                daemon, name, route, Blame.OVERLOAD, sent_at, 2 * hop + 0.001, 0.0
+        run_times = fake_target.run(self.now + network_delay_s, work, self.rng)
+        if run_times is None:
+            self.schedule_outcome(
+                daemon,
+                name,
+                route,
+                Blame.OVERLOAD,
+                sent_at,
+                2 * network_delay_s + 0.001,
+                0.0,
             )
             return
-        start, end = ran
-        failed = how.failed or self.rng.random() < BACKGROUND_ERRORS
+        start, end = run_times
+        failed = behaviour.failed or self.rng.random() < BACKGROUND_ERRORS
         blame = Blame.BACKEND_SERVER if failed else Blame.NONE
-        queueing = start - self.now - hop
-        self.finish(daemon, name, route, blame, sent_at, end + hop - sent_at, queueing)
+        queueing = start - self.now - network_delay_s
+        self.schedule_outcome(
+            daemon,
+            name,
+            route,
+            blame,
+            sent_at,
+            end + network_delay_s - sent_at,
+            queueing,
+        )
 
-    def blame_loss(self) -> Blame:
+    def choose_loss_blame(self) -> Blame:
         """Return what an attempt without an answer speaks against."""
         if self.scenario.fault in PARTITIONS:
             return Blame.PATH
@@ -383,9 +419,11 @@
             return Blame.BACKEND_SERVER
         return Blame.CONNECTION
 
-    def loss_time(self) -> float:
+    def compute_loss_time_s(self) -> float:
         """Return how long an attempt without an answer takes in seconds."""
-        return HANG_S if self.scenario.fault is Fault.HANGS else ATTEMPT_TIMEOUT_S
+        return (
+            HANG_TIMEOUT_S if self.scenario.fault is Fault.HANGS else ATTEMPT_TIMEOUT_S
+        )
 
     def choose_route(self) -> tuple[str, float]:
         """Choose a route and return its name and median time in seconds."""
@@ -396,28 +434,32 @@
                 return name, median
         return ROUTES[-1][0], ROUTES[-1][2]
 
-    def behaviour(
+    def get_request_behaviour(
         self, daemon: FakeDaemon, name: str, route: str, draw: float
     ) -> Behaviour:
         """Return how a request of a daemon fares at a target."""
         age = self.now - self.scenario.onset_s
-        if age < 0 or name not in self.sick:
+        if age < 0 or name not in self.faulty_targets:
             return Behaviour()
         if self.scenario.fault in PARTITIONS:
-            return Behaviour(lost=self.is_cut(daemon, name))
-        second = name != self.sick[0] and self.scenario.fault is Fault.TWO
-        return behave_under(self.scenario.fault, age, route, draw, second)
+            return Behaviour(lost=self.is_partitioned(daemon, name))
+        is_second_target = (
+            name != self.faulty_targets[0] and self.scenario.fault is Fault.TWO
+        )
+        return get_fault_behaviour(
+            self.scenario.fault, age, route, draw, is_second_target
+        )
 
-    def is_cut(self, daemon: FakeDaemon, name: str) -> bool:
+    def is_partitioned(self, daemon: FakeDaemon, name: str) -> bool:
         """Tell whether a partition cuts a daemon from the faulty target.
 
         It cuts the daemons of one other zone.
         """
         zones = self.scenario.zones
-        other = zones[(zones.index(self.zone_of(name)) + 1) % len(zones)]
+        other = zones[(zones.index(self.get_zone(name)) + 1) % len(zones)]
         return daemon.member.availability_zone == other
 
-    def finish(
+    def schedule_outcome(
         self,
         daemon: FakeDaemon,
         name: str,
@@ -448,79 +490,88 @@
             latency=timedelta(seconds=latency),
             queueing=timedelta(seconds=max(0.0, queueing)),
         )
-        self.after(latency, lambda: self.take_outcome(daemon, outcome))
+        self.schedule(latency, lambda: self.handle_outcome(daemon, outcome))
 
-    def take_outcome(self, daemon: FakeDaemon, outcome: RequestOutcome) -> None:
+    def handle_outcome(self, daemon: FakeDaemon, outcome: RequestOutcome) -> None:
         """Give an outcome to the daemon that waited for it."""
         daemon.board.in_flight.by_target[outcome.target_id] -= 1
         self.dispatch(daemon, outcome)
 
-    def concerned(self, name: str) -> list[FakeDaemon]:
+    def affected_daemons(self, name: str) -> list[FakeDaemon]:
         """Return the daemons that a faulty target fails."""
         if self.scenario.fault not in PARTITIONS:
             return list(self.daemons.values())
-        return [d for d in self.daemons.values() if self.is_cut(d, name)]
+        return [d for d in self.daemons.values() if self.is_partitioned(d, name)]
 
-    def measure(self) -> None:
+    def sample_metrics(self) -> None:
         """Sample detection, false ejections and the floor."""
-        self.after(MEASURE_S, self.measure)
+        self.schedule(SAMPLE_INTERVAL_S, self.sample_metrics)
         if self.now >= self.scenario.onset_s:
-            self.restart_cold()
+            self.announce_cold_restart()
             self.measure_detection()
-        self.measure_false()
+        self.measure_false_ejections()
         self.measure_floor()
 
     def measure_detection(self) -> None:
         """Note when nine in ten of the daemons concerned have avoided a target."""
-        for name in self.sick:
+        for name in self.faulty_targets:
             if name in self.detected_at:
                 continue
-            concerned = self.concerned(name)
-            known = self.known_to.setdefault(name, set())
-            known.update(d.member.daemon_id for d in concerned if name in d.avoided)
-            if len(known) >= 0.9 * len(concerned):
+            affected_daemons = self.affected_daemons(name)
+            avoiding = self.avoiding_daemons.setdefault(name, set())
+            avoiding.update(
+                d.member.daemon_id for d in affected_daemons if name in d.avoided
+            )
+            if len(avoiding) >= 0.9 * len(affected_daemons):
                 self.detected_at[name] = self.now - self.scenario.onset_s
 
-    def restart_cold(self) -> None:
+    def announce_cold_restart(self) -> None:
         """Announce the restart of a target that starts cold."""
         if self.scenario.fault is not Fault.COLD_START or self.restarted:
             return
         self.restarted = True
-        name = self.sick[0]
+        name = self.faulty_targets[0]
         target = attrs.evolve(self.targets[name].target, incarnation=1)
         for daemon in self.daemons.values():
             daemon.board.targets[name] = target
 
     def all_detected(self) -> bool:
         """Tell whether each sick target was found."""
-        return bool(self.sick) and len(self.detected_at) == len(self.sick)
+        return bool(self.faulty_targets) and len(self.detected_at) == len(
+            self.faulty_targets
+        )
 
     def healthy(self) -> set[str]:
         """Return the targets that are not at fault now."""
-        if self.scenario.fault in NOBODY_SICK or self.now < self.scenario.onset_s:
+        if (
+            self.scenario.fault in FAULTS_WITHOUT_FAULTY_TARGET
+            or self.now < self.scenario.onset_s
+        ):
             return set(self.targets)
-        return set(self.targets) - set(self.sick)
+        return set(self.targets) - set(self.faulty_targets)
 
-    def measure_false(self) -> None:
+    def measure_false_ejections(self) -> None:
         """Count healthy targets taken out for the fleet or by one daemon."""
         healthy = self.healthy()
         if self.scenario.fault in PARTITIONS:
             healthy = set(self.targets)
-        out = set().union(*(d.board.ejected for d in self.daemons.values()))
+        removed = set().union(*(d.board.ejected for d in self.daemons.values()))
         for name in self.targets:
             avoiding = sum(name in d.avoided for d in self.daemons.values())
             if avoiding > len(self.daemons) / 2:
-                out.add(name)
-        self.false_ejections += len((out - self.out_before) & healthy)
-        self.out_before = out
+                removed.add(name)
+        self.false_ejections += len((removed - self.removed_before) & healthy)
+        self.removed_before = removed
         if self.scenario.fault in PARTITIONS:
-            healthy -= set(self.sick)
+            healthy -= set(self.faulty_targets)
         pairs = {
             (d.member.daemon_id, n) for d in self.daemons.values() for n in d.avoided
         }
-        new = pairs - self.avoid_before
-        self.false_avoidances += sum(name in healthy for _, name in new)
-        self.avoid_before = pairs
+        new_pairs = pairs - self.avoided_pairs_before
+        self.false_avoidances_by_one_daemon += sum(
+            name in healthy for _, name in new_pairs
+        )
+        self.avoided_pairs_before = pairs
 
     def measure_floor(self) -> None:
         """Note the lowest weight in service, and whether it broke the floor."""
@@ -529,10 +580,10 @@
         views = [sum_in_service(weights, d.avoided) for d in self.daemons.values()]
         lowest = min(sum_in_service(weights, union), *views)
         self.lowest_weight = min(self.lowest_weight, lowest)
-        self.floor_broken += lowest < self.scenario.row.floor_weight
+        self.floor_violations += lowest < self.scenario.row.floor_weight
 
 
-def make_controllers(
+def create_controllers(
     settings: DaemonSettings, board: Blackboard, clock: ManualClock, rng: random.Random
 ) -> list[Any]:
     """Build the controllers under test."""
--- a/benchmarks/detection_users.py
+++ b/benchmarks/detection_users.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from benchmarks.detection_world import Scenario
+from benchmarks.detection_simulation import Scenario
 from wagtailstep.models.table import ServiceRow
 
 ADDIS_ZONES = ("bole", "piassa", "kirkos")
@@ -24,10 +24,10 @@
 EVENTDAY = attrs.evolve(STAFFROOM, service="eventday", floor_weight=5.0)
 
 ADDIS = (
-    Scenario(CONTRACTS, ADDIS_ZONES, hop_s=0.0005, targets=20),
-    Scenario(ARCHIVE, ADDIS_ZONES, hop_s=0.0005, targets=6),
+    Scenario(CONTRACTS, ADDIS_ZONES, zone_delay_s=0.0005, targets=20),
+    Scenario(ARCHIVE, ADDIS_ZONES, zone_delay_s=0.0005, targets=6),
 )
 HOKKAIDO = (
-    Scenario(STAFFROOM, HOKKAIDO_ZONES, hop_s=0.0015, targets=20, end_s=40.0),
-    Scenario(EVENTDAY, HOKKAIDO_ZONES, hop_s=0.0015, targets=6, end_s=40.0),
+    Scenario(STAFFROOM, HOKKAIDO_ZONES, zone_delay_s=0.0015, targets=20, end_s=40.0),
+    Scenario(EVENTDAY, HOKKAIDO_ZONES, zone_delay_s=0.0015, targets=6, end_s=40.0),
 )
--- a/benchmarks/events.py
+++ b/benchmarks/events.py
@@ -22,14 +22,14 @@
 from wagtailstep.models.timeline import MergedTimeline, sort_events
 from wagtailstep.utils.clock import ManualClock
 
-OUTPUT = pathlib.Path("docs/measurements/events.md")
+REPORT_PATH = pathlib.Path("docs/measurements/events.md")
 ADDRESS = "127.0.0.1:1"
 RING_SIZES = (1_024, 2_048, 4_096)
 MERGED_DAEMONS = (4, 16, 64)
 MERGED_RING = 4_096
 
 
-def make_timeline(daemon_id: str, size: int) -> Timeline:
+def create_timeline(daemon_id: str, size: int) -> Timeline:
     """Return the empty ring of one daemon."""
     settings = DaemonSettings(
         *(daemon_id, "zone", ADDRESS, ADDRESS, ADDRESS, ADDRESS),
@@ -39,7 +39,7 @@
     return Timeline(settings, board, ManualClock())
 
 
-def fill(timeline: Timeline, count: int, rng: random.Random) -> None:
+def fill_timeline(timeline: Timeline, count: int, rng: random.Random) -> None:
     """Record events such as daemons record most."""
     for _ in range(count):
         fields = {
@@ -53,12 +53,12 @@
 def measure_ring(size: int, rng: random.Random) -> tuple[float, float]:
     """Return the memory of a full ring in MB and microseconds for one event."""
     tracemalloc.start()
-    timeline = make_timeline("d", size)
-    fill(timeline, size, rng)
+    timeline = create_timeline("d", size)
+    fill_timeline(timeline, size, rng)
     memory_mb = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     started = time.process_time()
-    fill(timeline, size, rng)
+    fill_timeline(timeline, size, rng)
     return memory_mb, (time.process_time() - started) / size * 1e6
 
 
@@ -66,8 +66,8 @@
     """Return MB on the wire and seconds of processor time to merge full rings."""
     bodies = []
     for number in range(daemons):
-        timeline = make_timeline(f"d{number}", MERGED_RING)
-        fill(timeline, MERGED_RING, rng)
+        timeline = create_timeline(f"d{number}", MERGED_RING)
+        fill_timeline(timeline, MERGED_RING, rng)
         bodies.append(msgspec.json.encode(list(timeline.events)))
     started = time.process_time()
     events: list[TimelineEvent] = []
@@ -97,7 +97,7 @@
         f"event_record_us={rings[-1][2]:.2f} event_ring_mb={rings[-1][1]:.2f} "
         f"merge_s_per_daemon={slope:.3f}"
     )
-    report.write(OUTPUT, last)
+    report.write(REPORT_PATH, last)
     print(last)
 
 
--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -37,11 +37,11 @@
 TARGETS = 20
 LOG_DELAYS_MS = (0, 5)
 CONCURRENCIES = (1, 16, 64)
-KINDS = ("unkeyed", "ticket", "key")
-REPORT = pathlib.Path("docs/measurements/keys.md")
+REQUEST_TYPES = ("unkeyed", "ticket", "key")
+REPORT_PATH = pathlib.Path("docs/measurements/keys.md")
 
 
-class SilentChannel:
+class NullChannel:
     """A control channel that nobody listens to."""
 
     async def start(self, receive: Any) -> None:
@@ -71,7 +71,7 @@
 
 
 @attrs.define
-class Bench:
+class EntryFixture:
     """One entry and what it needs.
 
     :param entry: the entry.
@@ -85,7 +85,7 @@
 
 
 @attrs.frozen
-class Cell:
+class Measurement:
     """Figures of one kind of request at one concurrency and log delay."""
 
     kind: str
@@ -98,7 +98,7 @@
     cpu_us: float
 
 
-async def make_bench(seed: int, log_address: str) -> Bench:
+async def create_entry_fixture(seed: int, log_address: str) -> EntryFixture:
     """Wire one entry to the log service."""
     settings = DaemonSettings("d1", "z", ADDRESS, ADDRESS, ADDRESS, ADDRESS)
     settings = attrs.evolve(settings, log=LogSettings(address=log_address))
@@ -111,7 +111,7 @@
         board.targets[target_id] = Target(target_id, SERVICE, "d1", "z")
     parts = (settings, board, LoopClock(), random.Random(seed))
     log = CountingLog(settings.log)
-    runtime = Runtime(*parts, Outside(log, SilentChannel(), None))
+    runtime = Runtime(*parts, Outside(log, NullChannel(), None))
     routing, guard = RoutingController(*parts), DuplicateGuard(*parts)
     entry = EntryService(
         *parts,
@@ -125,20 +125,22 @@
     runtime.controllers = (routing, guard)
     runtime.listeners[RequestDecided] = entry.settle
     await runtime.start()
-    return Bench(entry, runtime, log)
+    return EntryFixture(entry, runtime, log)
 
 
-async def send(bench: Bench, kind: str, number: str) -> float:
+async def send(fixture: EntryFixture, kind: str, number: str) -> float:
     """Send one request and return its time in milliseconds."""
-    made = [(headers.SERVICE, SERVICE)]
+    request_headers = [(headers.SERVICE, SERVICE)]
     if kind == "ticket":
-        ticket = await bench.entry.issue_ticket(SERVICE)
-        made.append((headers.IDEMPOTENCY_KEY, ticket))
+        ticket = await fixture.entry.issue_ticket(SERVICE)
+        request_headers.append((headers.IDEMPOTENCY_KEY, ticket))
     elif kind == "key":
-        made.append((headers.IDEMPOTENCY_KEY, f"key-{number}"))
+        request_headers.append((headers.IDEMPOTENCY_KEY, f"key-{number}"))
     started = time.perf_counter()
-    incoming = IncomingRequest("POST", "/sign", tuple(made), yield_body(b"body"))
-    answer = await bench.entry.handle(incoming)
+    incoming = IncomingRequest(
+        "POST", "/sign", tuple(request_headers), yield_body(b"body")
+    )
+    answer = await fixture.entry.handle(incoming)
     body = b"".join([chunk async for chunk in answer.body])
     await answer.close()
     if answer.status != 200 or body != b"signed":
@@ -146,48 +148,50 @@
     return (time.perf_counter() - started) * 1_000
 
 
-async def run_cell(
-    bench: Bench, kind: str, delay_ms: int, concurrency: int, requests: int
-) -> Cell:
+async def measure_case(
+    fixture: EntryFixture, kind: str, delay_ms: int, concurrency: int, requests: int
+) -> Measurement:
     """Send requests of one kind from some callers at once."""
-    appends = bench.log.appends
+    appends = fixture.log.appends
     cpu = time.process_time()
 
     async def call(caller: int) -> list[float]:
         prefix = f"{delay_ms}-{concurrency}-{caller}"
         count = requests // concurrency
-        return [await send(bench, kind, f"{prefix}-{n}") for n in range(count)]
+        return [await send(fixture, kind, f"{prefix}-{n}") for n in range(count)]
 
     results = await asyncio.gather(*map(call, range(concurrency)))
     times = sorted(latency for latencies in results for latency in latencies)
     cpu_us = (time.process_time() - cpu) * 1e6 / len(times)
-    made = bench.log.appends - appends
+    append_count = fixture.log.appends - appends
     p50, p99 = times[len(times) // 2], times[int(len(times) * 0.99)]
-    return Cell(kind, delay_ms, concurrency, len(times), p50, p99, made, cpu_us)
+    return Measurement(
+        kind, delay_ms, concurrency, len(times), p50, p99, append_count, cpu_us
+    )
 
 
-async def measure(seed: int, requests: int) -> list[Cell]:
+async def measure(seed: int, requests: int) -> list[Measurement]:
     """Measure all kinds, delays and concurrencies."""
-    cells = []
+    measurements = []
     faults, stop, ports = LogFaults(), asyncio.Event(), asyncio.Queue()
     server = asyncio.create_task(serve("127.0.0.1", 0, faults, ports.put_nowait, stop))
-    bench = await make_bench(seed, f"127.0.0.1:{await ports.get()}")
-    await run_cell(bench, "key", 0, 2, 20)
+    fixture = await create_entry_fixture(seed, f"127.0.0.1:{await ports.get()}")
+    await measure_case(fixture, "key", 0, 2, 20)
     for faults.delay_ms in LOG_DELAYS_MS:
         for concurrency in CONCURRENCIES:
-            for kind in KINDS:
-                cell = await run_cell(
-                    bench, kind, faults.delay_ms, concurrency, requests
+            for kind in REQUEST_TYPES:
+                measurement = await measure_case(
+                    fixture, kind, faults.delay_ms, concurrency, requests
                 )
-                print(cell, flush=True)
-                cells.append(cell)
-    await bench.runtime.close()
+                print(measurement, flush=True)
+                measurements.append(measurement)
+    await fixture.runtime.close()
     stop.set()
     await server
-    return cells
+    return measurements
 
 
-def add_cells(report: Report, cells: list[Cell]) -> None:
+def add_measurements(report: Report, measurements: list[Measurement]) -> None:
     """Add the table of all cells to the page."""
     report.add_text(
         "Entry, runtime, log client and the stand-in of the log service share one "
@@ -198,24 +202,28 @@
     headings += ["appends per 1,000 requests", "CPU us per request"]
     rows = [
         [
-            str(cell.log_delay_ms),
-            str(cell.concurrency),
-            cell.kind,
-            str(cell.requests),
-            f"{cell.p50_ms:.2f}",
-            f"{cell.p99_ms:.2f}",
-            f"{1_000 * cell.appends / cell.requests:.0f}",
-            f"{cell.cpu_us:.0f}",
+            str(measurement.log_delay_ms),
+            str(measurement.concurrency),
+            measurement.kind,
+            str(measurement.requests),
+            f"{measurement.p50_ms:.2f}",
+            f"{measurement.p99_ms:.2f}",
+            f"{1_000 * measurement.appends / measurement.requests:.0f}",
+            f"{measurement.cpu_us:.0f}",
         ]
-        for cell in cells
+        for measurement in measurements
     ]
     report.add_table(headings, rows)
 
 
-def find(cells: list[Cell], kind: str, delay_ms: int, concurrency: int) -> Cell:
+def get_measurement(
+    measurements: list[Measurement], kind: str, delay_ms: int, concurrency: int
+) -> Measurement:
     """Return one cell."""
-    wanted = (kind, delay_ms, concurrency)
-    return next(c for c in cells if (c.kind, c.log_delay_ms, c.concurrency) == wanted)
+    requested = (kind, delay_ms, concurrency)
+    return next(
+        c for c in measurements if (c.kind, c.log_delay_ms, c.concurrency) == requested
+    )
 
 
 def main(seed: int = 1, requests: int = 960) -> None:
@@ -224,18 +232,21 @@
     :param requests: requests in each cell.
     """
     report = Report("Cost of tickets and idempotency keys", "keys", seed)
-    cells = asyncio.run(measure(seed, requests))
-    add_cells(report, cells)
-    plain = find(cells, "unkeyed", 5, 16)
-    ticket, key = find(cells, "ticket", 5, 16), find(cells, "key", 5, 16)
+    measurements = asyncio.run(measure(seed, requests))
+    add_measurements(report, measurements)
+    unkeyed = get_measurement(measurements, "unkeyed", 5, 16)
+    ticket, key = (
+        get_measurement(measurements, "ticket", 5, 16),
+        get_measurement(measurements, "key", 5, 16),
+    )
     last_line = (
-        f"ticket_added_ms_p50={ticket.p50_ms - plain.p50_ms:.2f} "
-        f"key_added_ms_p50={key.p50_ms - plain.p50_ms:.2f} "
-        f"key_added_ms_p99={key.p99_ms - plain.p99_ms:.2f} "
+        f"ticket_added_ms_p50={ticket.p50_ms - unkeyed.p50_ms:.2f} "
+        f"key_added_ms_p50={key.p50_ms - unkeyed.p50_ms:.2f} "
+        f"key_added_ms_p99={key.p99_ms - unkeyed.p99_ms:.2f} "
         f"appends_per_1000_keys={1_000 * key.appends / key.requests:.0f} "
-        f"unkeyed_cpu_us={plain.cpu_us:.0f} ticket_cpu_us={ticket.cpu_us:.0f}"
+        f"unkeyed_cpu_us={unkeyed.cpu_us:.0f} ticket_cpu_us={ticket.cpu_us:.0f}"
     )
-    report.write(REPORT, last_line)
+    report.write(REPORT_PATH, last_line)
     print(last_line)
 
 
--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -17,10 +17,10 @@
 from benchmarks.report import Report
 from wagtailstep.utils.logging import BoundedHandler, configure_logging, log_event
 
-REPORT = pathlib.Path(__file__).parent.parent / "docs/measurements/log_cost.md"
-RATES = (1, 50, 500)
-FAILED_SHARE = 0.05
-SECONDS = 60
+REPORT_PATH = pathlib.Path(__file__).parent.parent / "docs/measurements/log_cost.md"
+REQUEST_RATES = (1, 50, 500)
+FAILED_FRACTION = 0.05
+DURATION_S = 60
 LOGGER = logging.getLogger("benchmarks.log_cost")
 TARGET = "contracts/i-7f3a91c2"
 
@@ -33,14 +33,14 @@
     :param cpu: share of a core.
     :param bytes_per_s: bytes written a second.
     :param lines_per_s: lines written a second.
-    :param left_out: lines of requests that went well and were not written.
+    :param omitted: lines of requests that went well and were not written.
     """
 
     rate: int
     cpu: float = 0.0
     bytes_per_s: float = 0.0
     lines_per_s: float = 0.0
-    left_out: int = 0
+    omitted: int = 0
 
 
 class CountingHandler(BoundedHandler):
@@ -50,14 +50,14 @@
         self.now_s = 0.0
         self.bytes = 0
         self.lines = 0
-        self.skipped = 0
+        self.omitted = 0
         super().__init__(fd, lambda: self.now_s)
 
     def take_routine(self) -> bool:
         """Count a routine line that is left out."""
-        taken = super().take_routine()
-        self.skipped += not taken
-        return taken
+        is_written = super().take_routine()
+        self.omitted += not is_written
+        return is_written
 
     def write(self, line: str) -> bool:
         """Count a line."""
@@ -119,18 +119,18 @@
     LOGGER.handlers, LOGGER.propagate = [handler], False
     LOGGER.setLevel(logging.INFO)
     started = time.process_time()
-    for second in range(SECONDS):
+    for second in range(DURATION_S):
         handler.now_s = float(second)
         for number in range(rate):
-            log_request(f"{second:08x}{number:08x}", rng.random() < FAILED_SHARE)
-    spent = time.process_time() - started
+            log_request(f"{second:08x}{number:08x}", rng.random() < FAILED_FRACTION)
+    cpu_s = time.process_time() - started
     os.close(fd)
     return Cost(
         rate,
-        spent / SECONDS,
-        handler.bytes / SECONDS,
-        handler.lines / SECONDS,
-        handler.skipped,
+        cpu_s / DURATION_S,
+        handler.bytes / DURATION_S,
+        handler.lines / DURATION_S,
+        handler.omitted,
     )
 
 
@@ -138,14 +138,14 @@
     """Measure all rates and write the page."""
     configure_logging("INFO")
     report = Report("What the log lines of requests cost", "log_cost", seed)
-    costs = [measure_rate(rate, seed) for rate in RATES]
+    costs = [measure_rate(rate, seed) for rate in REQUEST_RATES]
     rows = [
         [
             str(cost.rate),
             f"{100 * cost.cpu:.3f} %",
             f"{cost.bytes_per_s:.0f}",
             f"{cost.lines_per_s:.1f}",
-            f"{cost.left_out / SECONDS:.1f}",
+            f"{cost.omitted / DURATION_S:.1f}",
         ]
         for cost in costs
     ]
@@ -153,7 +153,7 @@
         ["requests/s", "of a core", "bytes/s", "lines/s", "left out/s"], rows
     )
     last = " ".join(f"cpu_{c.rate}={100 * c.cpu:.3f}%" for c in costs)
-    report.write(REPORT, last)
+    report.write(REPORT_PATH, last)
     print(last)
 
 
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -18,9 +18,9 @@
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    product = sum((x - mean_x) * (y - mean_y) for x, y in points)
-    slope = product / spread if spread else 0.0
+    variance_x = sum((x - mean_x) ** 2 for x, _ in points)
+    covariance = sum((x - mean_x) * (y - mean_y) for x, y in points)
+    slope = covariance / variance_x if variance_x else 0.0
     return mean_y - slope * mean_x, slope
 
 
@@ -36,8 +36,8 @@
 def read_commit() -> str:
     """Return the short name of the commit, marked if files differ from it."""
     command = ["git", "describe", "--always", "--dirty", "--abbrev=10"]
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
-    return done.stdout.strip() or "unknown"
+    completed = subprocess.run(command, capture_output=True, text=True, check=False)
+    return completed.stdout.strip() or "unknown"
 
 
 @attrs.define
--- a/benchmarks/requests.py
+++ b/benchmarks/requests.py
@@ -24,11 +24,11 @@
     STRAGGLER_LOAD,
     STRAGGLER_WORK_MS,
     TIMEOUT_MS,
-    WARMUP_SHARE,
+    WARMUP_FRACTION,
     WORK_MS,
     Cell,
-    Price,
-    Truth,
+    CorrectnessCounts,
+    PathCost,
     compare,
     write_report,
 )
@@ -39,14 +39,14 @@
 SHED_STATUS = 503
 
 
-def find_quantile(values: list[float], share: float) -> float:
+def compute_quantile(values: list[float], fraction: float) -> float:
     """Return a quantile by the nearest rank; 0 if there is no value."""
     if not values:
         return 0.0
-    return sorted(values)[min(len(values) - 1, int(share * len(values)))]
+    return sorted(values)[min(len(values) - 1, int(fraction * len(values)))]
 
 
-def make_specs(name: str, addresses: list[str], plan: "CellPlan") -> list[LoadSpec]:
+def build_specs(name: str, addresses: list[str], plan: "CellPlan") -> list[LoadSpec]:
     """Divide the load of a cell between processes of callers."""
     return [
         LoadSpec(
@@ -89,7 +89,7 @@
     @property
     def warmup_s(self) -> float:
         """Return the time at the start that is not counted."""
-        return self.seconds * WARMUP_SHARE
+        return self.seconds * WARMUP_FRACTION
 
 
 def plan_cells(seed: int, seconds: float) -> list[CellPlan]:
@@ -108,7 +108,7 @@
     return [*cells, last]
 
 
-def judge_cell(system: str, plan: CellPlan, outcomes: list[Outcome]) -> Cell:
+def summarize_cell(system: str, plan: CellPlan, outcomes: list[Outcome]) -> Cell:
     """Reduce outcomes to one row of the table."""
     measured = [outcome for outcome in outcomes if outcome.measured]
     good = [o for o in measured if o.status == 200 and not o.wrong]
@@ -125,8 +125,8 @@
         straggler=plan.straggler,
         work_ms=plan.work_ms,
         goodput=len(in_time) / (plan.seconds - plan.warmup_s),
-        p50_ms=find_quantile(times, 0.5),
-        p99_ms=find_quantile(times, 0.99),
+        p50_ms=compute_quantile(times, 0.5),
+        p99_ms=compute_quantile(times, 0.99),
         refused=1 - len(good) / max(1, len(measured)),
     )
 
@@ -137,33 +137,35 @@
     """Give each cell to both systems in turn."""
     systems = {"wagtailstep": fleet.entries, "round-robin": fleet.proxies}
     cells = []
-    own_outcomes = []
+    fleet_outcomes = []
     for number, plan in enumerate(plans):
         factor = STRAGGLER_FACTOR if plan.straggler else 1.0
         await fleet.set_faults(0, Faults(slow_factor=factor))
         for system, addresses in systems.items():
-            specs = make_specs(f"{system}-{number}", addresses, plan)
+            specs = build_specs(f"{system}-{number}", addresses, plan)
             outcomes = await fleet.run_load(*specs)
-            cells.append(judge_cell(system, plan, outcomes))
+            cells.append(summarize_cell(system, plan, outcomes))
             print(attrs.asdict(cells[-1]), flush=True)
             if system == "wagtailstep":
-                own_outcomes.extend(outcomes)
-    return cells, own_outcomes
+                fleet_outcomes.extend(outcomes)
+    return cells, fleet_outcomes
 
 
-async def check_truth(fleet: Fleet, outcomes: list[Outcome]) -> Truth:
+async def count_violations(fleet: Fleet, outcomes: list[Outcome]) -> CorrectnessCounts:
     """Compare what callers were told with what the backend servers counted."""
     starts = await fleet.count_starts()
-    truth = Truth()
+    correctness = CorrectnessCounts()
     for outcome in outcomes:
         count = starts.get(outcome.key, 0)
-        truth.wrong_answers += outcome.wrong
-        truth.doubled += not outcome.repeatable and count > 1
-        truth.false_not_run += outcome.verdict == "not-run" and count > 0
-    return truth
+        correctness.wrong_answers += outcome.wrong
+        correctness.doubled += not outcome.idempotent and count > 1
+        correctness.false_not_run += outcome.verdict == "not-run" and count > 0
+    return correctness
 
 
-async def measure_price(folder: pathlib.Path, seed: int, seconds: float) -> Price:
+async def measure_path_cost(
+    folder: pathlib.Path, seed: int, seconds: float
+) -> PathCost:
     """Measure added time at the design's rate, then processor time a request.
 
     Two daemons; only the first one has a backend server, so each request of the
@@ -179,7 +181,7 @@
             rate=2 * DESIGN_RATE,
             concurrency=0,
             seconds=seconds,
-            warmup_s=seconds * WARMUP_SHARE,
+            warmup_s=seconds * WARMUP_FRACTION,
             work_ms=ADDED_WORK_MS,
             timeout_ms=TIMEOUT_MS,
             seed=seed,
@@ -206,12 +208,14 @@
         [o.latency_ms for o in outcomes if o.group == group and o.measured]
         for group in (0, 1)
     ]
-    via, direct = times
-    return Price(
-        added_ms_p50=find_quantile(via, 0.5) - find_quantile(direct, 0.5),
-        added_ms_p99=find_quantile(via, 0.99) - find_quantile(direct, 0.99),
-        direct_p50_ms=find_quantile(direct, 0.5),
-        direct_p99_ms=find_quantile(direct, 0.99),
+    through_daemons, direct = times
+    return PathCost(
+        added_ms_p50=compute_quantile(through_daemons, 0.5)
+        - compute_quantile(direct, 0.5),
+        added_ms_p99=compute_quantile(through_daemons, 0.99)
+        - compute_quantile(direct, 0.99),
+        direct_p50_ms=compute_quantile(direct, 0.5),
+        direct_p99_ms=compute_quantile(direct, 0.99),
         entry_cpu_ms=used[0] / answered * 1_000,
         gate_cpu_ms=used[1] / answered * 1_000,
         saturated_rate=answered / seconds,
@@ -222,18 +226,18 @@
     """Run all measurements."""
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
-        price = await measure_price(folder, seed, seconds)
-        print(attrs.asdict(price), flush=True)
+        path_cost = await measure_path_cost(folder, seed, seconds)
+        print(attrs.asdict(path_cost), flush=True)
         fleet = Fleet(folder, FLEET_SIZE, seed)
         try:
             await fleet.start()
             cells, outcomes = await measure_cells(fleet, plan_cells(seed, seconds))
-            truth = await check_truth(fleet, outcomes)
+            correctness = await count_violations(fleet, outcomes)
         finally:
             await fleet.stop()
-    figures = compare(cells, price, truth)
+    figures = compare(cells, path_cost, correctness)
     line = " ".join(f"{key}={value}" for key, value in figures.items())
-    write_report(cells, price, line, seed, seconds)
+    write_report(cells, path_cost, line, seed, seconds)
     print(line)
 
 
--- a/benchmarks/requests_fleet.py
+++ b/benchmarks/requests_fleet.py
@@ -163,13 +163,13 @@
     async def wait_until_ready(self, address: str) -> None:
         """Ask until an address answers a request with 200."""
         for _ in range(100):
-            status, _ = await self.ask(address, "GET", "/lookup/ready")
+            status, _ = await self.send_request(address, "GET", "/lookup/ready")
             if status == 200:
                 return
             await asyncio.sleep(0.2)
         raise RuntimeError(f"{address} answers no request: last status {status}")
 
-    async def ask(
+    async def send_request(
         self, address: str, method: str, path: str, body: bytes = b""
     ) -> tuple[int, bytes]:
         """Send one request; return its status, or 0, and the answer's body."""
@@ -195,7 +195,9 @@
     async def set_faults(self, index: int, faults: Faults) -> None:
         """Give faults to one backend server."""
         body = msgspec.json.encode(faults)
-        status, _ = await self.ask(self.backends[index], "PUT", "/faults", body)
+        status, _ = await self.send_request(
+            self.backends[index], "PUT", "/faults", body
+        )
         if status != 200:
             raise RuntimeError(f"faults were refused with status {status}")
 
@@ -203,7 +205,7 @@
         """Return how often each request was started, over all backend servers."""
         total: dict[str, int] = {}
         for address in self.backends:
-            _, data = await self.ask(address, "GET", "/counts")
+            _, data = await self.send_request(address, "GET", "/counts")
             for key, count in json.loads(data)["started"].items():
                 total[key] = total.get(key, 0) + count
         return total
--- a/benchmarks/requests_load.py
+++ b/benchmarks/requests_load.py
@@ -22,7 +22,7 @@
 from wagtailstep.network.http_connection import HttpRequest
 from wagtailstep.utils.clock import LoopClock
 
-UNREPEATABLE_SHARE = 0.3
+UNSAFE_FRACTION = 0.3
 WORK_SIGMA = 0.3
 MAX_IN_FLIGHT = 4_000
 SERVICE_NAME = "contracts"
@@ -62,7 +62,7 @@
 
     :param key: key of the request.
     :param group: index of the group of addresses.
-    :param repeatable: whether it was sent as idempotent.
+    :param idempotent: whether it was sent as idempotent.
     :param status: HTTP status, or 0 if there was no whole answer.
     :param verdict: verdict in the answer, or an empty string.
     :param reason: reason of a failure, of a daemon's or of the caller's own client.
@@ -74,7 +74,7 @@
 
     key: str
     group: int
-    repeatable: bool
+    idempotent: bool
     status: int = 0
     verdict: str = ""
     reason: str = ""
@@ -99,42 +99,42 @@
         """Send all requests and return how they ended."""
         self.started = asyncio.get_running_loop().time()
         if self.spec.rate:
-            await self.run_open()
+            await self.run_open_loop()
         else:
-            callers = [self.run_caller() for _ in range(self.spec.concurrency)]
+            callers = [self.run_closed_loop() for _ in range(self.spec.concurrency)]
             await asyncio.gather(*callers)
         if self.tasks:
             await asyncio.wait(set(self.tasks))
         self.client.close()
         return self.outcomes
 
-    async def run_open(self) -> None:
+    async def run_open_loop(self) -> None:
         """Send at random times, whatever is still under way."""
         loop = asyncio.get_running_loop()
         due = self.started
         while due - self.started < self.spec.seconds:
             due += self.rng.expovariate(self.spec.rate)
-            request, outcome = self.make_request()
+            request, outcome = self.build_request()
             await asyncio.sleep(due - loop.time())
             if len(self.tasks) < MAX_IN_FLIGHT:
                 task = asyncio.create_task(self.send(request, outcome, due))
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
 
-    async def run_caller(self) -> None:
+    async def run_closed_loop(self) -> None:
         """Send one request after the other."""
         loop = asyncio.get_running_loop()
         while loop.time() - self.started < self.spec.seconds:
-            request, outcome = self.make_request()
+            request, outcome = self.build_request()
             await self.send(request, outcome, loop.time())
 
-    def make_request(self) -> tuple[HttpRequest, Outcome]:
+    def build_request(self) -> tuple[HttpRequest, Outcome]:
         """Draw the next request; the draws don't depend on earlier answers."""
         spec = self.spec
         group = self.number % len(spec.groups)
         self.number += 1
         key = f"{spec.name}-{self.number}"
-        repeatable = self.rng.random() >= UNREPEATABLE_SHARE
+        idempotent = self.rng.random() >= UNSAFE_FRACTION
         work_ms = spec.work_ms * self.rng.lognormvariate(
             -WORK_SIGMA * WORK_SIGMA / 2, WORK_SIGMA
         )
@@ -147,14 +147,14 @@
         )
         request = HttpRequest(
             address=address,
-            method="GET" if repeatable else "POST",
-            path="/lookup/1" if repeatable else "/sign/1",
-            headers=headers if repeatable else (*headers, ("content-length", "2")),
-            body=None if repeatable else yield_body(),
-            idempotent=repeatable,
+            method="GET" if idempotent else "POST",
+            path="/lookup/1" if idempotent else "/sign/1",
+            headers=headers if idempotent else (*headers, ("content-length", "2")),
+            body=None if idempotent else yield_body(),
+            idempotent=idempotent,
             time_left=timedelta(milliseconds=spec.timeout_ms + 200),
         )
-        return request, Outcome(key, group, repeatable)
+        return request, Outcome(key, group, idempotent)
 
     async def send(self, request: HttpRequest, outcome: Outcome, due: float) -> None:
         """Send one request and note how it ended."""
@@ -165,8 +165,8 @@
             await answer.close()
             outcome.status = answer.status
             outcome.verdict = find_header(answer.headers, VERDICT) or ""
-            is_own = data == f"{outcome.key}\n".encode()
-            outcome.wrong = answer.status == 200 and not is_own
+            is_expected_answer = data == f"{outcome.key}\n".encode()
+            outcome.wrong = answer.status == 200 and not is_expected_answer
             outcome.reason = find_header(answer.headers, REASON) or ""
         except RequestError as error:
             outcome.reason = f"{error.reason} ({error.verdict.value})"
--- a/benchmarks/requests_report.py
+++ b/benchmarks/requests_report.py
@@ -9,11 +9,11 @@
 
 from benchmarks.requests_fleet import PROXIES, SLOTS
 
-REPORT = pathlib.Path("docs/measurements/requests.md")
+REPORT_PATH = pathlib.Path("docs/measurements/requests.md")
 FLEET_SIZE = 20
 WORK_MS = 800.0
 TIMEOUT_MS = 8_000
-WARMUP_SHARE = 0.4
+WARMUP_FRACTION = 0.4
 STRAGGLER_FACTOR = 10.0
 STRAGGLER_LOAD = 0.5
 STRAGGLER_WORK_MS = 200.0
@@ -22,7 +22,7 @@
 ADDED_WORK_MS = 2.0
 SATURATING_CALLERS = 16
 ADDED_P99_TARGET_MS = 6.4
-MIN_GOODPUT_KEPT = 0.95
+MIN_GOODPUT_RATIO = 0.95
 MAX_STRAGGLER_RATIO = 0.3
 
 
@@ -52,7 +52,7 @@
 
 
 @attrs.define
-class Truth:
+class CorrectnessCounts:
     """What must be zero.
 
     :param doubled: unrepeatable requests that were started more than once.
@@ -66,7 +66,7 @@
 
 
 @attrs.define
-class Price:
+class PathCost:
     """What the path costs.
 
     :param added_ms_p50: added milliseconds, difference of the medians.
@@ -92,76 +92,78 @@
         return 1_000 / (self.entry_cpu_ms + self.gate_cpu_ms)
 
 
-def find_cell(
+def get_cell(
     cells: list[Cell], system: str, load: float, work_ms: float = WORK_MS
 ) -> Cell:
     """Return the row of one system at one load.
 
     :param work_ms: the work of the cell; rows without a straggler come first.
     """
-    wanted = (system, load, work_ms)
-    return next(c for c in cells if (c.system, c.load, c.work_ms) == wanted)
+    key = (system, load, work_ms)
+    return next(c for c in cells if (c.system, c.load, c.work_ms) == key)
 
 
 def compare_straggler(cells: list[Cell]) -> float:
     """Return the 99th percentile with a straggler against round robin's."""
-    own, other = (
-        find_cell(cells, system, STRAGGLER_LOAD, STRAGGLER_WORK_MS).p99_ms
+    wagtailstep_value, round_robin_value = (
+        get_cell(cells, system, STRAGGLER_LOAD, STRAGGLER_WORK_MS).p99_ms
         for system in ("wagtailstep", "round-robin")
     )
-    return own / max(other, 1e-9)
+    return wagtailstep_value / max(round_robin_value, 1e-9)
 
 
 def compare_goodput(cells: list[Cell], load: float) -> float:
     """Return the goodput without a straggler against round robin's."""
-    own, other = (
-        find_cell(cells, system, load).goodput
+    wagtailstep_value, round_robin_value = (
+        get_cell(cells, system, load).goodput
         for system in ("wagtailstep", "round-robin")
     )
-    return own / max(other, 1e-9)
+    return wagtailstep_value / max(round_robin_value, 1e-9)
 
 
-def compare(cells: list[Cell], price: Price, truth: Truth) -> dict[str, float]:
+def compare(
+    cells: list[Cell], path_cost: PathCost, correctness: CorrectnessCounts
+) -> dict[str, float]:
     """Return the figures of the last line."""
     return {
         "goodput_ratio_0_9x": round(compare_goodput(cells, 0.9), 3),
         "goodput_ratio_3x": round(compare_goodput(cells, 3.0), 3),
         "p99_ratio_straggler": round(compare_straggler(cells), 3),
-        "added_ms_p50": round(price.added_ms_p50, 2),
-        "added_ms_p99": round(price.added_ms_p99, 2),
-        "requests_per_s_per_core": round(price.rate_per_core, 1),
-        "doubled": truth.doubled,
-        "false_not_run": truth.false_not_run,
-        "wrong_answers": truth.wrong_answers,
+        "added_ms_p50": round(path_cost.added_ms_p50, 2),
+        "added_ms_p99": round(path_cost.added_ms_p99, 2),
+        "requests_per_s_per_core": round(path_cost.rate_per_core, 1),
+        "doubled": correctness.doubled,
+        "false_not_run": correctness.false_not_run,
+        "wrong_answers": correctness.wrong_answers,
     }
 
 
-def describe_targets(cells: list[Cell], price: Price) -> list[str]:
+def describe_goals(cells: list[Cell], path_cost: PathCost) -> list[str]:
     """Compare the figures with the stated targets."""
-    kept = (
-        find_cell(cells, "wagtailstep", 3.0).goodput
-        / find_cell(cells, "wagtailstep", 0.9).goodput
+    goodput_ratio = (
+        get_cell(cells, "wagtailstep", 3.0).goodput
+        / get_cell(cells, "wagtailstep", 0.9).goodput
     )
     straggler = compare_straggler(cells)
     rows = [
-        ("goodput at 3x against 0.9x", kept, ">=", MIN_GOODPUT_KEPT),
+        ("goodput at 3x against 0.9x", goodput_ratio, ">=", MIN_GOODPUT_RATIO),
         ("p99 with a straggler at 0.5x", straggler, "<=", MAX_STRAGGLER_RATIO),
-        ("added p99 in ms", price.added_ms_p99, "<=", ADDED_P99_TARGET_MS),
+        ("added p99 in ms", path_cost.added_ms_p99, "<=", ADDED_P99_TARGET_MS),
     ]
     return [
-        f"| {name} | {value:.2f} | {sign} {bound} | {judge(value, sign, bound)} |"
+        f"| {name} | {value:.2f} | {sign} {bound} | {describe_verdict(value, sign, bound)} |"
         for name, value, sign, bound in rows
     ]
 
 
-def judge(value: float, sign: str, bound: float) -> str:
+def describe_verdict(value: float, sign: str, bound: float) -> str:
     """Say whether a target is met."""
     is_met = value >= bound if sign == ">=" else value <= bound
     return "met" if is_met else "missed"
 
 
 def write_report(
-    cells: list[Cell], price: Price, line: str, seed: int, seconds: float
+    cells: list[Cell], path_cost: PathCost, line: str, seed: int, seconds: float
 ) -> None:
     """Write the tables with machine, seed and commit."""
     commit = subprocess.run(
@@ -174,7 +176,7 @@
         f"- machine: {platform.machine()}, {os.cpu_count()} cores, Python "
         f"{platform.python_version()}, load average {load} (shared with other work)",
         f"- seed {seed}, commit {commit}, {seconds:g} s for each cell, the first "
-        f"{WARMUP_SHARE:.0%} not counted",
+        f"{WARMUP_FRACTION:.0%} not counted",
         f"- {FLEET_SIZE} daemons and backend servers with {SLOTS} slots, "
         f"{TIMEOUT_MS} ms allowed, 30% unrepeatable",
         f"- straggler: one backend server in {FLEET_SIZE} takes "
@@ -198,18 +200,18 @@
         "",
         "| target | measured | bound | verdict |",
         "|---|---|---|---|",
-        *describe_targets(cells, price),
+        *describe_goals(cells, path_cost),
         "",
         f"Price of the path at {DESIGN_RATE:g} requests a second at one daemon, "
         f"paired with direct calls (work {ADDED_WORK_MS:g} ms): direct p50 "
-        f"{price.direct_p50_ms:.2f} ms, p99 {price.direct_p99_ms:.2f} ms; added p50 "
-        f"{price.added_ms_p50:.2f} ms, p99 {price.added_ms_p99:.2f} ms.",
+        f"{path_cost.direct_p50_ms:.2f} ms, p99 {path_cost.direct_p99_ms:.2f} ms; added p50 "
+        f"{path_cost.added_ms_p50:.2f} ms, p99 {path_cost.added_ms_p99:.2f} ms.",
         "",
-        f"Processor time for one request: entry {price.entry_cpu_ms:.2f} ms, gate "
-        f"{price.gate_cpu_ms:.2f} ms, control included. One entry with "
-        f"{SATURATING_CALLERS} callers at once: {price.saturated_rate:.0f} requests/s.",
+        f"Processor time for one request: entry {path_cost.entry_cpu_ms:.2f} ms, gate "
+        f"{path_cost.gate_cpu_ms:.2f} ms, control included. One entry with "
+        f"{SATURATING_CALLERS} callers at once: {path_cost.saturated_rate:.0f} requests/s.",
         "",
         f"    {line}",
     ]
-    REPORT.parent.mkdir(parents=True, exist_ok=True)
-    REPORT.write_text("\n".join(lines) + "\n")
+    REPORT_PATH.parent.mkdir(parents=True, exist_ok=True)
+    REPORT_PATH.write_text("\n".join(lines) + "\n")
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -24,7 +24,7 @@
 from wagtailstep.models.headers import SERVICE, TIMEOUT_MS
 from wagtailstep.network.http_connection import HttpRequest
 
-REPORT = pathlib.Path("docs/measurements/streams.md")
+REPORT_PATH = pathlib.Path("docs/measurements/streams.md")
 MIB = 1_048_576
 UPLOAD_MIB = 1_024
 ANSWER_MIB = 256
@@ -50,7 +50,7 @@
     seconds: float
 
 
-async def make_upload(digest: xxhash.xxh64) -> AsyncIterator[bytes]:
+async def generate_upload(digest: xxhash.xxh64) -> AsyncIterator[bytes]:
     """Yield the upload; each chunk differs from the one before."""
     for number in range(UPLOAD_MIB * 16):
         chunk = number.to_bytes(8, "big") * (MIB // 16 // 8)
@@ -58,11 +58,11 @@
         yield chunk
 
 
-def make_request(
+def build_request(
     address: str, *headers: tuple[str, str], **changes: Any
 ) -> HttpRequest:
     """Return a request that is given enough time."""
-    values = {
+    arguments = {
         "address": address,
         "method": "GET",
         "path": "/lookup/large",
@@ -70,8 +70,10 @@
         "idempotent": True,
         "time_left": timedelta(seconds=TIMEOUT_S),
     }
-    own = ((SERVICE, SERVICE_NAME), (TIMEOUT_MS, str(TIMEOUT_S * 1_000)))
-    return HttpRequest(headers=(*own, *headers), **{**values, **changes})
+    required_headers = ((SERVICE, SERVICE_NAME), (TIMEOUT_MS, str(TIMEOUT_S * 1_000)))
+    return HttpRequest(
+        headers=(*required_headers, *headers), **{**arguments, **changes}
+    )
 
 
 async def upload(fleet: Fleet, address: str) -> None:
@@ -80,12 +82,12 @@
     :raises RuntimeError: if it did not arrive whole.
     """
     digest = xxhash.xxh64()
-    request = make_request(
+    request = build_request(
         address,
         ("content-length", str(UPLOAD_MIB * MIB)),
         method="POST",
         path="/upload",
-        body=make_upload(digest),
+        body=generate_upload(digest),
         idempotent=False,
     )
     answer = await fleet.client.send(request)
@@ -102,7 +104,7 @@
     :raises RuntimeError: if it did not arrive whole.
     """
     size = ANSWER_MIB * MIB
-    request = make_request(address, ("fake-answer-bytes", str(size)))
+    request = build_request(address, ("fake-answer-bytes", str(size)))
     answer = await fleet.client.send(request)
     received = 0
     reads = 0
@@ -126,17 +128,17 @@
             by_name = {program.name: program for program in fleet.programs}
             gate, entry = [by_name[d.daemon_id] for d in fleet.daemons]
             address = fleet.entries[1]
-            steps.append(note("start", entry, gate, 0.0))
-            for text, work in (("upload", upload), ("slow reader", read_slowly)):
+            steps.append(record_step("start", entry, gate, 0.0))
+            for text, run_stream in (("upload", upload), ("slow reader", read_slowly)):
                 started = loop.time()
-                await work(fleet, address)
-                steps.append(note(text, entry, gate, loop.time() - started))
+                await run_stream(fleet, address)
+                steps.append(record_step(text, entry, gate, loop.time() - started))
         finally:
             await fleet.stop()
     return steps
 
 
-def note(name: str, entry: Program, gate: Program, seconds: float) -> Step:
+def record_step(name: str, entry: Program, gate: Program, seconds: float) -> Step:
     """Return and print the peak memory after a step."""
     step = Step(name, entry.peak_memory_mb(), gate.peak_memory_mb(), seconds)
     print(attrs.asdict(step), flush=True)
@@ -169,8 +171,8 @@
             for s in steps
         ),
     ]
-    REPORT.parent.mkdir(parents=True, exist_ok=True)
-    REPORT.write_text("\n".join(lines) + "\n")
+    REPORT_PATH.parent.mkdir(parents=True, exist_ok=True)
+    REPORT_PATH.write_text("\n".join(lines) + "\n")
     first, last = steps[0], steps[-1]
     print(
         f"entry_growth_mb={last.entry_mb - first.entry_mb:.1f} "
--- a/benchmarks/table.py
+++ b/benchmarks/table.py
@@ -16,21 +16,21 @@
 import fire
 
 from benchmarks.table_fleet import TableFleet
-from benchmarks.table_histories import Oracle, make_change
+from benchmarks.table_histories import Oracle, build_change
 from benchmarks.table_size import SizeFigures, measure_size
 from wagtailstep.models.settings import LogSettings
 from wagtailstep.models.table_edits import TableEdit
 
-SIZES = (8, 52, 200, 600, 1_800)
-TODAY_SIZE = 52
+FLEET_SIZES = (8, 52, 200, 600, 1_800)
+CURRENT_SIZE = 52
 DESIGN_SIZE = 1_800
-BOUND_TODAY_MS = 5_000
-BOUND_DESIGN_MS = 9_000
-EDITS = 12
+CURRENT_BOUND_MS = 5_000
+DESIGN_BOUND_MS = 9_000
+EDIT_COUNT = 12
 EDIT_INTERVAL = timedelta(seconds=2)
-QUIET = timedelta(seconds=20)
-SETTLING = timedelta(seconds=20)
-DROP = 0.01
+IDLE_DURATION = timedelta(seconds=20)
+CONVERGENCE_DURATION = timedelta(seconds=20)
+DROP_FRACTION = 0.01
 MAX_LATENCY_MS = 20.0
 CHANGES_PER_DAY = 1_500
 DAY_S = 86_400
@@ -38,7 +38,7 @@
 SNAPSHOT_SIZES = (8, 52, 200)
 SNAPSHOT_RETENTION_S = 300.0
 SNAPSHOT_RETENTIONS = 3
-REPORT = pathlib.Path("docs/measurements/table.md")
+REPORT_PATH = pathlib.Path("docs/measurements/table.md")
 
 
 @attrs.frozen
@@ -48,9 +48,9 @@
     :param scenario: what happened to the log.
     :param edits: edits appended, copies of the same edit not counted.
     :param in_force_ms: time from acceptance to in force, for each edit and daemon.
-    :param quiet_bytes_s: bytes a daemon sends in a second without edits.
+    :param idle_bytes_s: bytes a daemon sends in a second without edits.
     :param edit_bytes: bytes a daemon sends more for each accepted edit.
-    :param quiet_cpu: share of a core for the controller without edits.
+    :param idle_cpu: share of a core for the controller without edits.
     :param edit_cpu_us: processor time a daemon spends more for each accepted edit.
     :param reads_per_s: reads of the log by the whole fleet.
     :param appends_per_s: appends of the operators and the whole fleet.
@@ -64,29 +64,29 @@
     reverted: int
     lost: int
     applied_twice: int
-    quiet_bytes_s: float
+    idle_bytes_s: float
     edit_bytes: float
-    quiet_cpu: float
+    idle_cpu: float
     edit_cpu_us: float
     reads_per_s: float
     appends_per_s: float
 
-    def quantile_ms(self, share: float) -> float:
+    def quantile_ms(self, fraction: float) -> float:
         """Return a quantile of the times from acceptance to in force."""
         last = len(self.in_force_ms) - 1
-        return self.in_force_ms[round(last * share)]
+        return self.in_force_ms[round(last * fraction)]
 
 
-def start_fleet(seed: int, size: int, poll_ms: int) -> TableFleet:
+def start_idle_fleet(seed: int, size: int, poll_ms: int) -> TableFleet:
     """Return a fleet whose daemons all have the empty table."""
     fleet = TableFleet(seed, size, LogSettings(poll_ms=poll_ms))
     fleet.network.max_latency_ms = MAX_LATENCY_MS
-    fleet.network.drop = DROP
+    fleet.network.drop = DROP_FRACTION
     fleet.run(timedelta(milliseconds=2 * poll_ms) + timedelta(seconds=5))
     return fleet
 
 
-def let_one_read(fleet: TableFleet) -> None:
+def restrict_reads_to_one_daemon(fleet: TableFleet) -> None:
     """Cut all daemons but one off from reading the log."""
     for daemon in list(fleet.daemons.values())[1:]:
         daemon.reads_log = False
@@ -95,29 +95,33 @@
 def append_edits(fleet: TableFleet, oracle: Oracle, rng: random.Random) -> list:
     """Append edits, some of them twice, and return when each was accepted."""
     accepted_at: list[tuple[timedelta, int]] = []
-    for index in range(EDITS):
+    for index in range(EDIT_COUNT):
         utc = fleet.clock.utc()
-        change = make_change(f"s{rng.randrange(4)}", index)
+        change = build_change(f"s{rng.randrange(4)}", index)
         base = max(0, oracle.version - rng.choice((0, 0, 1)))
         edit = TableEdit(f"e{index}", base, "operator", "benchmark", utc, change)
         version = oracle.version
         for _ in range(rng.choice((1, 1, 2))):
             fleet.append_edit(edit)
-            oracle.take(edit)
+            oracle.apply_edit(edit)
         if oracle.version > version:
             accepted_at.append((fleet.clock.monotonic(), oracle.version))
         fleet.run(EDIT_INTERVAL)
-    fleet.run(SETTLING)
+    fleet.run(CONVERGENCE_DURATION)
     return accepted_at
 
 
-def find_in_force(fleet: TableFleet, accepted_at: list) -> list[float]:
+def compute_in_force_times_ms(fleet: TableFleet, accepted_at: list) -> list[float]:
     """Return the time until each version was in force, for each daemon, in ms."""
     times: list[float] = []
     for daemon in fleet.daemons.values():
         for when, version in accepted_at:
-            seen = (at for at, found in daemon.versions if found >= version)
-            at = next(seen, None)
+            times_in_force = (
+                at
+                for at, version_in_force in daemon.versions
+                if version_in_force >= version
+            )
+            at = next(times_in_force, None)
             if at is not None:
                 times.append((at - when).total_seconds() * 1e3)
     return sorted(times)
@@ -127,10 +131,10 @@
     seed: int, size: int, scenario: str, poll_ms: int = 500
 ) -> FleetFigures:
     """Run one fleet: quiet for a while, then with edits."""
-    fleet = start_fleet(seed, size, poll_ms)
+    fleet = start_idle_fleet(seed, size, poll_ms)
     if scenario == "one daemon reads the log":
-        let_one_read(fleet)
-    quiet = run_quiet(fleet)
+        restrict_reads_to_one_daemon(fleet)
+    idle = measure_idle(fleet)
     bytes_before = count_bytes(fleet)
     cpu_before = fleet.handling_s
     appends_before = fleet.log.append_count
@@ -138,29 +142,29 @@
     oracle = Oracle()
     accepted_at = append_edits(fleet, oracle, random.Random(seed))
     duration = (fleet.clock.monotonic() - started).total_seconds()
-    times = find_in_force(fleet, accepted_at)
+    times = compute_in_force_times_ms(fleet, accepted_at)
     versions = [d.blackboard.table.version for d in fleet.daemons.values()]
-    edit_bytes = (count_bytes(fleet) - bytes_before) / size - quiet[0] * duration
-    edit_cpu = (fleet.handling_s - cpu_before) / size - quiet[1] * duration
+    edit_bytes = (count_bytes(fleet) - bytes_before) / size - idle[0] * duration
+    edit_cpu = (fleet.handling_s - cpu_before) / size - idle[1] * duration
     return FleetFigures(
         scenario,
         size,
-        EDITS,
+        EDIT_COUNT,
         oracle.version,
         tuple(times),
         len(fleet.find_reverts()),
         len(accepted_at) * size - len(times),
         sum(max(0, version - oracle.version) for version in versions),
-        quiet[0],
+        idle[0],
         edit_bytes / oracle.version,
-        quiet[1],
+        idle[1],
         edit_cpu * 1e6 / oracle.version,
-        quiet[2],
+        idle[2],
         (fleet.log.append_count - appends_before) / duration,
     )
 
 
-def run_quiet(fleet: TableFleet) -> tuple[float, float, float]:
+def measure_idle(fleet: TableFleet) -> tuple[float, float, float]:
     """Let a fleet run without edits.
 
     :return: bytes a second and share of a core of one daemon, and reads of the log
@@ -169,8 +173,8 @@
     size = len(fleet.daemons)
     bytes_before = count_bytes(fleet)
     cpu_before, reads_before = fleet.handling_s, fleet.log.read_count
-    fleet.run(QUIET)
-    seconds = QUIET.total_seconds()
+    fleet.run(IDLE_DURATION)
+    seconds = IDLE_DURATION.total_seconds()
     return (
         (count_bytes(fleet) - bytes_before) / size / seconds,
         (fleet.handling_s - cpu_before) / size / seconds,
@@ -201,9 +205,9 @@
     log_settings = LogSettings(retention_s=SNAPSHOT_RETENTION_S)
     fleet = TableFleet(seed, size, log_settings)
     fleet.network.max_latency_ms = MAX_LATENCY_MS
-    fleet.network.drop = DROP
+    fleet.network.drop = DROP_FRACTION
     utc = fleet.clock.utc()
-    edit = TableEdit("e", 0, "operator", "benchmark", utc, make_change("s", 1))
+    edit = TableEdit("e", 0, "operator", "benchmark", utc, build_change("s", 1))
     fleet.append_edit(edit)
     fleet.run(timedelta(seconds=SNAPSHOT_RETENTION_S * SNAPSHOT_RETENTIONS))
     # The time until a snapshot is written is half of the retention and a bit.
@@ -213,13 +217,13 @@
 
 def describe_fleet(figures: FleetFigures) -> str:
     """Return one row of the report."""
-    day_bytes = figures.quiet_bytes_s + figures.edit_bytes * CHANGES_PER_DAY / DAY_S
-    day_cpu = figures.quiet_cpu + figures.edit_cpu_us / 1e6 * CHANGES_PER_DAY / DAY_S
+    day_bytes = figures.idle_bytes_s + figures.edit_bytes * CHANGES_PER_DAY / DAY_S
+    day_cpu = figures.idle_cpu + figures.edit_cpu_us / 1e6 * CHANGES_PER_DAY / DAY_S
     return (
         f"| {figures.size} | {figures.scenario} | {figures.quantile_ms(0.5):.0f} | "
         f"{figures.quantile_ms(0.99):.0f} | {figures.quantile_ms(1):.0f} | "
         f"{figures.reverted} | {figures.lost} | {figures.applied_twice} | "
-        f"{figures.quiet_bytes_s:.0f} | {figures.edit_bytes:.0f} | {day_bytes:.0f} | "
+        f"{figures.idle_bytes_s:.0f} | {figures.edit_bytes:.0f} | {day_bytes:.0f} | "
         f"{day_cpu * 100:.3f} | {figures.reads_per_s:.0f} |"
     )
 
@@ -240,7 +244,7 @@
         f"{commit}.",
         "",
         "Fleets of table controllers in virtual time. Messages take 0.5 ms to "
-        f"{MAX_LATENCY_MS:g} ms and {DROP:.0%} of them get lost; each daemon knows all "
+        f"{MAX_LATENCY_MS:g} ms and {DROP_FRACTION:.0%} of them get lost; each daemon knows all "
         "others and reads the log every 0.5 s, or every "
         f"{RARE_POLL_MS / 1e3:g} s in the scenario of rare reads. Times run from the "
         "append that was accepted until a daemon has the version in force, over all "
@@ -249,7 +253,7 @@
         f"for a day hold {CHANGES_PER_DAY} changes. Processor time is that of the "
         "controller alone.",
         "",
-        f"Bounds: {BOUND_TODAY_MS} ms up to {TODAY_SIZE} daemons, {BOUND_DESIGN_MS} ms "
+        f"Bounds: {CURRENT_BOUND_MS} ms up to {CURRENT_SIZE} daemons, {DESIGN_BOUND_MS} ms "
         "at the design size.",
         "",
         "| daemons | scenario | p50 ms | p99 ms | worst ms | reverted | lost | "
@@ -280,8 +284,8 @@
         "|---|---|---|",
         *(f"| {item.size} | {item.due} | {item.written} |" for item in snapshots),
     ]
-    REPORT.parent.mkdir(parents=True, exist_ok=True)
-    REPORT.write_text("\n".join(lines) + "\n")
+    REPORT_PATH.parent.mkdir(parents=True, exist_ok=True)
+    REPORT_PATH.write_text("\n".join(lines) + "\n")
 
 
 def main(seed: int = 1, largest: int = DESIGN_SIZE) -> None:
@@ -292,12 +296,14 @@
     git = ["git", "rev-parse", "--short", "HEAD"]
     commit = subprocess.run(git, capture_output=True, text=True).stdout.strip()
     results: list[FleetFigures] = []
-    for size in (size for size in SIZES if size <= largest):
+    for size in (size for size in FLEET_SIZES if size <= largest):
         for scenario in ("all daemons read the log", "one daemon reads the log"):
             results.append(measure_fleet(seed, size, scenario))
             print(describe_fleet(results[-1]), flush=True)
-    rare = "all read the log rarely"
-    results.append(measure_fleet(seed, min(largest, DESIGN_SIZE), rare, RARE_POLL_MS))
+    rare_reads = "all read the log rarely"
+    results.append(
+        measure_fleet(seed, min(largest, DESIGN_SIZE), rare_reads, RARE_POLL_MS)
+    )
     print(describe_fleet(results[-1]), flush=True)
     size_figures = measure_size(seed)
     print(size_figures, flush=True)
@@ -309,16 +315,16 @@
 
 def print_summary(results: list[FleetFigures]) -> None:
     """Print the line that the issue names, for the largest fleet."""
-    reading = [r for r in results if r.scenario.startswith("all daemons")]
-    cut_off = [r for r in results if r.scenario.startswith("one")]
-    largest = reading[-1]
+    all_read_log = [r for r in results if r.scenario.startswith("all daemons")]
+    one_reads_log = [r for r in results if r.scenario.startswith("one")]
+    largest = all_read_log[-1]
     print(
         f"edits={sum(r.edits for r in results)} "
         f"accepted={sum(r.accepted for r in results)} "
         f"in_force_p50_ms={largest.quantile_ms(0.5):.0f} "
         f"in_force_p99_ms={largest.quantile_ms(0.99):.0f} "
-        f"in_force_max_ms={max(r.quantile_ms(1) for r in reading):.0f} "
-        f"in_force_max_log_away_ms={max(r.quantile_ms(1) for r in cut_off):.0f} "
+        f"in_force_max_ms={max(r.quantile_ms(1) for r in all_read_log):.0f} "
+        f"in_force_max_log_away_ms={max(r.quantile_ms(1) for r in one_reads_log):.0f} "
         f"reverted={sum(r.reverted for r in results)} "
         f"lost={sum(r.lost for r in results)} "
         f"applied_twice={sum(r.applied_twice for r in results)} "
--- a/benchmarks/table_fleet.py
+++ b/benchmarks/table_fleet.py
@@ -35,19 +35,19 @@
 from wagtailstep.utils.clock import ManualClock
 from wagtailstep.utils.codec import encode_message
 
-TICK = timedelta(milliseconds=100)
+TICK_INTERVAL = timedelta(milliseconds=100)
 DATAGRAM_BYTES = 40
 ADDRESS = "127.0.0.1:1"
 
 _T = TypeVar("_T")
 
 
-def run_now(call: Coroutine[Any, Any, _T]) -> _T:
+def run_without_waiting(call: Coroutine[Any, Any, _T]) -> _T:
     """Run a coroutine that never waits."""
     try:
         call.send(None)
-    except StopIteration as done:
-        return done.value
+    except StopIteration as completed:
+        return completed.value
     raise RuntimeError("the call waited")
 
 
@@ -59,14 +59,14 @@
     :param max_latency_ms: longest way; a wide span reorders messages.
     :param drop: share of messages that get lost.
     :param duplicate: share of messages that arrive twice.
-    :param cuts: pairs of sender and receiver whose messages get lost.
+    :param blocked_links: pairs of sender and receiver whose messages get lost.
     """
 
     min_latency_ms: float = 0.5
     max_latency_ms: float = 5.0
     drop: float = 0.0
     duplicate: float = 0.0
-    cuts: set[tuple[str, str]] = attrs.field(factory=set)
+    blocked_links: set[tuple[str, str]] = attrs.field(factory=set)
 
 
 @attrs.define
@@ -101,7 +101,7 @@
 
     :param seed: decides all that is random.
     :param size: number of daemons.
-    :param make_controller: builds the controllers; tests plant faults with it.
+    :param create_controller: builds the controllers; tests plant faults with it.
     """
 
     def __init__(
@@ -110,19 +110,19 @@
         size: int,
         log_settings: LogSettings | None = None,
         table_settings: TableSettings | None = None,
-        make_controller: Callable[..., TableController] = TableController,
+        create_controller: Callable[..., TableController] = TableController,
     ) -> None:
         self.rng = random.Random(seed)
         self.clock = ManualClock()
         self.log_settings = log_settings or LogSettings()
         self.table_settings = table_settings or TableSettings()
-        self.make_controller = make_controller
+        self.create_controller = create_controller
         self.log = InMemoryLogService(
             self.clock, LogFaults(retention_s=self.log_settings.retention_s)
         )
         self.network = NetworkFaults()
         self.queue: list[tuple[timedelta, int, Callable[[], None]]] = []
-        self.sequence = itertools.count()
+        self.sequence_numbers = itertools.count()
         self.handling_s = 0.0
         self.events: list[tuple[timedelta, str, RecordEvent]] = []
         names = [f"d{index:04d}" for index in range(size)]
@@ -135,10 +135,10 @@
 
     # Time
 
-    def at(self, delay: timedelta, call: Callable[[], None]) -> None:
+    def schedule(self, delay: timedelta, call: Callable[[], None]) -> None:
         """Call something after a delay."""
         when = self.clock.monotonic() + delay
-        heapq.heappush(self.queue, (when, next(self.sequence), call))
+        heapq.heappush(self.queue, (when, next(self.sequence_numbers), call))
 
     def run(self, duration: timedelta) -> None:
         """Let virtual time pass."""
@@ -160,17 +160,17 @@
         )
         board = Blackboard(self.members[name], members=self.members)
         rng = random.Random(self.rng.getrandbits(64))
-        controller = self.make_controller(settings, board, self.clock, rng)
+        controller = self.create_controller(settings, board, self.clock, rng)
         daemon = FleetDaemon(name, controller, board, self.clock.monotonic())
-        before = self.daemons.get(name)
-        if before is not None:
-            daemon.versions = before.versions
-            daemon.reads_log = before.reads_log
-            daemon.appends = before.appends
+        previous = self.daemons.get(name)
+        if previous is not None:
+            daemon.versions = previous.versions
+            daemon.reads_log = previous.reads_log
+            daemon.appends = previous.appends
         self.daemons[name] = daemon
         poll = timedelta(milliseconds=self.log_settings.poll_ms)
-        self.at(TICK * self.rng.random(), lambda: self.tick(daemon))
-        self.at(poll * self.rng.random(), lambda: self.poll(daemon))
+        self.schedule(TICK_INTERVAL * self.rng.random(), lambda: self.tick(daemon))
+        self.schedule(poll * self.rng.random(), lambda: self.poll(daemon))
 
     def stop(self, name: str) -> None:
         """Stop a daemon; all that it knew is gone."""
@@ -181,9 +181,9 @@
         if not self.daemons[name].up:
             return
         self.stop(name)
-        self.at(downtime, lambda: self.start(name))
+        self.schedule(downtime, lambda: self.start(name))
 
-    def feed(self, daemon: FleetDaemon, event: Any) -> None:
+    def dispatch(self, daemon: FleetDaemon, event: Any) -> None:
         """Give one event to a daemon and carry out its effects."""
         if not daemon.up:
             return
@@ -192,9 +192,9 @@
         self.handling_s += time.perf_counter() - started
         for effect in effects:
             self.apply(daemon, effect)
-        self.observe(daemon)
+        self.record_version(daemon)
 
-    def observe(self, daemon: FleetDaemon) -> None:
+    def record_version(self, daemon: FleetDaemon) -> None:
         """Note the version in force at a daemon if it changed."""
         if not daemon.blackboard.table_known:
             return
@@ -208,8 +208,8 @@
     def tick(self, daemon: FleetDaemon) -> None:
         """Tell a daemon that time has passed, and again later."""
         if daemon.up:
-            self.feed(daemon, Tick())
-            self.at(TICK, lambda: self.tick(daemon))
+            self.dispatch(daemon, Tick())
+            self.schedule(TICK_INTERVAL, lambda: self.tick(daemon))
 
     # The log
 
@@ -223,36 +223,36 @@
             except LogUnavailableError:
                 pass
         poll = timedelta(milliseconds=self.log_settings.poll_ms)
-        self.at(poll, lambda: self.poll(daemon))
+        self.schedule(poll, lambda: self.poll(daemon))
 
     def read_log(self, daemon: FleetDaemon) -> None:
         """Read all new records for a daemon."""
-        oldest = run_now(self.log.oldest_offset(TABLE_STREAM))
+        oldest = run_without_waiting(self.log.oldest_offset(TABLE_STREAM))
         if daemon.offset is None:
             daemon.offset = oldest
             if oldest:
-                self.feed(daemon, LogGap(TABLE_STREAM, oldest))
+                self.dispatch(daemon, LogGap(TABLE_STREAM, oldest))
         while True:
             try:
-                batch = run_now(self.log.read(TABLE_STREAM, daemon.offset))
+                batch = run_without_waiting(self.log.read(TABLE_STREAM, daemon.offset))
             except RecordExpiredError as error:
                 daemon.offset = error.oldest
-                self.feed(daemon, LogGap(TABLE_STREAM, error.oldest))
+                self.dispatch(daemon, LogGap(TABLE_STREAM, error.oldest))
                 continue
             daemon.offset = batch.next_offset
             if not batch.records:
-                self.feed(
+                self.dispatch(
                     daemon,
                     LogCaughtUp(
                         TABLE_STREAM, batch.next_offset, self.clock.monotonic()
                     ),
                 )
                 return
-            self.feed(daemon, LogRecordsRead(TABLE_STREAM, batch.records))
+            self.dispatch(daemon, LogRecordsRead(TABLE_STREAM, batch.records))
 
     def append_edit(self, edit: TableEdit) -> int:
         """Append an edit as an operator's program does, and return its offset."""
-        return run_now(self.log.append(TABLE_STREAM, encode_message(edit)))
+        return run_without_waiting(self.log.append(TABLE_STREAM, encode_message(edit)))
 
     # Effects
 
@@ -262,7 +262,7 @@
             self.send(daemon, effect)
         elif isinstance(effect, AppendToLog):
             delay = daemon.append_delay
-            self.at(delay, lambda: self.append(daemon, effect))
+            self.schedule(delay, lambda: self.append(daemon, effect))
         elif isinstance(effect, RecordEvent):
             self.events.append((self.clock.monotonic(), daemon.name, effect))
 
@@ -272,13 +272,13 @@
         try:
             if daemon.appends:
                 data = encode_message(effect.record)
-                offset = run_now(self.log.append(effect.stream, data))
+                offset = run_without_waiting(self.log.append(effect.stream, data))
         except LogUnavailableError:
             pass
         except AppendUnknownError:
             may_have_applied = True
-        settled = LogAppendSettled(effect.append_id, offset, may_have_applied)
-        self.feed(daemon, settled)
+        append_event = LogAppendSettled(effect.append_id, offset, may_have_applied)
+        self.dispatch(daemon, append_event)
 
     def send(self, daemon: FleetDaemon, effect: SendToPeer) -> None:
         """Send a message, which may get lost, late or doubled."""
@@ -287,20 +287,23 @@
         daemon.messages_sent += 1
         receiver = effect.address.partition(":")[0]
         faults = self.network
-        if (daemon.name, receiver) in faults.cuts or self.rng.random() < faults.drop:
+        if (
+            daemon.name,
+            receiver,
+        ) in faults.blocked_links or self.rng.random() < faults.drop:
             return
         copies = 2 if self.rng.random() < faults.duplicate else 1
         event = PeerMessageReceived(daemon.name, effect.message)
         for _ in range(copies):
             latency = self.rng.uniform(faults.min_latency_ms, faults.max_latency_ms)
             delay = timedelta(milliseconds=latency)
-            self.at(delay, lambda: self.deliver(receiver, event, size))
+            self.schedule(delay, lambda: self.deliver(receiver, event, size))
 
     def deliver(self, receiver: str, event: PeerMessageReceived, size: int) -> None:
         """Hand a message to whatever incarnation of its receiver is up."""
         daemon = self.daemons[receiver]
         daemon.bytes_received += size
-        self.feed(daemon, event)
+        self.dispatch(daemon, event)
 
     # Findings
 
@@ -310,14 +313,14 @@
 
     def find_reverts(self) -> list[str]:
         """Return where a daemon went back to an older version."""
-        found: list[str] = []
+        reverts: list[str] = []
         for daemon in self.daemons.values():
-            for (_, before), (when, after) in itertools.pairwise(daemon.versions):
-                if after < before:
-                    found.append(
-                        f"{daemon.name} went from {before} to {after} at {when}"
+            for (_, previous), (when, after) in itertools.pairwise(daemon.versions):
+                if after < previous:
+                    reverts.append(
+                        f"{daemon.name} went from {previous} to {after} at {when}"
                     )
-        return found
+        return reverts
 
     def versions_in_force(self) -> set[int | None]:
         """Return the versions in force at the daemons that are up."""
--- a/benchmarks/table_histories.py
+++ b/benchmarks/table_histories.py
@@ -22,13 +22,13 @@
 from wagtailstep.utils.codec import encode_message
 
 ROWS = tuple(f"s{index}" for index in range(6))
-HISTORY = timedelta(seconds=240)
-SETTLING = timedelta(seconds=30)
+HISTORY_DURATION = timedelta(seconds=240)
+CONVERGENCE_DURATION = timedelta(seconds=30)
 RETENTION_S = 120.0
 MAX_SNAPSHOTS = 30
 
 
-def make_change(row: str, value: int) -> TableChanges:
+def build_change(row: str, value: int) -> TableChanges:
     """Return a change of one service row that carries a value."""
     return TableChanges(services={row: ServiceRow(row, drain_limit_s=float(value))})
 
@@ -44,7 +44,7 @@
     rows: dict[str, tuple[int, float]] = attrs.field(factory=dict)
     edit_ids: set[str] = attrs.field(factory=set)
 
-    def take(self, edit: TableEdit) -> None:
+    def apply_edit(self, edit: TableEdit) -> None:
         """Decide the next edit in the order of the log."""
         if edit.edit_id in self.edit_ids:
             return
@@ -68,16 +68,16 @@
     oracle: Oracle = attrs.field(factory=Oracle)
     sent: list[TableEdit] = attrs.field(factory=list)
 
-    def schedule(self) -> None:
+    def schedule_edits_and_faults(self) -> None:
         """Plan all edits and faults."""
         now = 0.0
-        while now < HISTORY.total_seconds():
+        while now < HISTORY_DURATION.total_seconds():
             now += self.rng.expovariate(1.5)
-            self.fleet.at(timedelta(seconds=now), self.edit)
+            self.fleet.schedule(timedelta(seconds=now), self.edit)
         now = 0.0
-        while now < HISTORY.total_seconds():
+        while now < HISTORY_DURATION.total_seconds():
             now += self.rng.expovariate(0.4)
-            self.fleet.at(timedelta(seconds=now), self.cause_fault)
+            self.fleet.schedule(timedelta(seconds=now), self.cause_fault)
 
     def edit(self) -> None:
         """Append an edit, based on a version that may be old, or an old edit again."""
@@ -85,7 +85,7 @@
             edit = self.rng.choice(self.sent[-5:])
         else:
             base = max(0, self.oracle.version - self.rng.choice((0, 0, 0, 1, 3)))
-            change = make_change(self.rng.choice(ROWS), len(self.sent))
+            change = build_change(self.rng.choice(ROWS), len(self.sent))
             edit_id = f"e{len(self.sent)}"
             utc = self.fleet.clock.utc()
             edit = TableEdit(edit_id, base, "operator", "history", utc, change)
@@ -94,43 +94,43 @@
         except LogUnavailableError:
             return
         self.sent.append(edit)
-        self.oracle.take(edit)
+        self.oracle.apply_edit(edit)
 
     def cause_fault(self) -> None:
         """Cause one random fault that ends by itself."""
-        causes = (
-            self.take_log_away,
-            self.cut_from_log,
-            self.cut_network,
-            self.cut_network,
-            self.restart_one,
-            self.restart_one,
-            self.slow_appends,
+        faults = (
+            self.make_log_unavailable,
+            self.restrict_log_access,
+            self.block_links,
+            self.block_links,
+            self.restart_random_daemon,
+            self.restart_random_daemon,
+            self.delay_appends,
         )
-        self.rng.choice(causes)()
+        self.rng.choice(faults)()
         if self.rng.random() < 0.03:
-            self.restart_all()
+            self.restart_all_daemons()
 
-    def some_time(self, longest_s: float) -> timedelta:
+    def random_duration(self, longest_s: float) -> timedelta:
         """Return a random duration."""
         return timedelta(seconds=self.rng.uniform(0.1, longest_s))
 
-    def take_log_away(self) -> None:
+    def make_log_unavailable(self) -> None:
         """Make the log unreachable for all."""
         self.fleet.log.faults.away = True
-        self.fleet.at(self.some_time(25), self.bring_log_back)
+        self.fleet.schedule(self.random_duration(25), self.restore_log)
 
-    def bring_log_back(self) -> None:
+    def restore_log(self) -> None:
         """Make the log reachable."""
         self.fleet.log.faults.away = False
 
-    def cut_from_log(self) -> None:
+    def restrict_log_access(self) -> None:
         """Cut some daemons off from the log, one way or both."""
         reads, appends = self.rng.choice(((False, True), (True, False), (False, False)))
         for name in self.rng.sample(list(self.fleet.daemons), 2):
             self.set_log_access(name, reads, appends)
-            end = self.some_time(40)
-            self.fleet.at(end, lambda n=name: self.set_log_access(n, True, True))
+            end = self.random_duration(40)
+            self.fleet.schedule(end, lambda n=name: self.set_log_access(n, True, True))
 
     def set_log_access(self, name: str, reads: bool, appends: bool) -> None:
         """Set what a daemon can do with the log."""
@@ -138,40 +138,42 @@
         daemon.reads_log = reads
         daemon.appends = appends
 
-    def cut_network(self) -> None:
+    def block_links(self) -> None:
         """Cut a daemon off from some others, in one direction or in both."""
         names = list(self.fleet.daemons)
-        one = self.rng.choice(names)
+        isolated = self.rng.choice(names)
         others = self.rng.sample(names, self.rng.randint(1, len(names) - 1))
-        out = {(one, other) for other in others}
-        back = {(other, one) for other in others}
-        cuts = self.rng.choice((out, back, out | back))
-        self.fleet.network.cuts |= cuts
-        self.fleet.at(self.some_time(15), lambda: self.heal(cuts))
+        outgoing = {(isolated, other) for other in others}
+        incoming = {(other, isolated) for other in others}
+        blocked_links = self.rng.choice((outgoing, incoming, outgoing | incoming))
+        self.fleet.network.blocked_links |= blocked_links
+        self.fleet.schedule(
+            self.random_duration(15), lambda: self.restore_links(blocked_links)
+        )
 
-    def heal(self, cuts: set[tuple[str, str]]) -> None:
+    def restore_links(self, blocked_links: set[tuple[str, str]]) -> None:
         """End a cut."""
-        self.fleet.network.cuts -= cuts
+        self.fleet.network.blocked_links -= blocked_links
 
-    def restart_one(self) -> None:
+    def restart_random_daemon(self) -> None:
         """Replace one daemon."""
         name = self.rng.choice(list(self.fleet.daemons))
-        self.fleet.restart(name, self.some_time(3))
+        self.fleet.restart(name, self.random_duration(3))
 
-    def restart_all(self) -> None:
+    def restart_all_daemons(self) -> None:
         """Replace all daemons at once."""
         for name in list(self.fleet.daemons):
-            self.fleet.restart(name, self.some_time(3))
+            self.fleet.restart(name, self.random_duration(3))
 
-    def slow_appends(self) -> None:
+    def delay_appends(self) -> None:
         """Let a daemon's appends reach the log late, as if it had paused."""
         daemon = self.fleet.daemons[self.rng.choice(list(self.fleet.daemons))]
-        daemon.append_delay = self.some_time(30)
+        daemon.append_delay = self.random_duration(30)
 
     def end_faults(self) -> None:
         """End all faults."""
-        self.bring_log_back()
-        self.fleet.network.cuts.clear()
+        self.restore_log()
+        self.fleet.network.blocked_links.clear()
         for name, daemon in self.fleet.daemons.items():
             daemon.append_delay = timedelta()
             self.set_log_access(name, True, True)
@@ -203,24 +205,24 @@
 
 def run_fleet_history(
     seed: int,
-    make_controller: Callable[..., TableController] = TableController,
+    create_controller: Callable[..., TableController] = TableController,
     size: int = 5,
 ) -> FleetHistory:
     """Run one history of a small fleet, to its settled end.
 
-    :param make_controller: builds the controllers; tests plant faults with it.
+    :param create_controller: builds the controllers; tests plant faults with it.
     """
     log_settings = LogSettings(poll_ms=500, retention_s=RETENTION_S)
-    fleet = TableFleet(seed, size, log_settings, make_controller=make_controller)
+    fleet = TableFleet(seed, size, log_settings, create_controller=create_controller)
     faults = fleet.network
     faults.max_latency_ms = 300.0
     faults.drop = 0.05
     faults.duplicate = 0.1
     history = FleetHistory(fleet, random.Random(seed))
-    history.schedule()
-    fleet.run(HISTORY)
+    history.schedule_edits_and_faults()
+    fleet.run(HISTORY_DURATION)
     history.end_faults()
-    fleet.run(SETTLING)
+    fleet.run(CONVERGENCE_DURATION)
     return history
 
 
@@ -243,17 +245,20 @@
     def step(self, state: Any, op: Any) -> tuple[bool, Any]:
         """Apply one operation."""
         version, rows = state
-        known = op.status == "ok"
+        is_known = op.status == "ok"
         if op.f == "read":
             values = tuple((name, value) for name, value, _ in rows)
-            return (not known or op.output == (version, values), state)
+            return (not is_known or op.output == (version, values), state)
         row, value, base = op.arg
-        last = next((changed for name, _, changed in rows if name == row), 0)
-        if last > base:
-            return (not known or op.output == 0, state)
-        kept = [item for item in rows if item[0] != row]
-        after = (version + 1, tuple(sorted([*kept, (row, value, version + 1)])))
-        return (not known or op.output == version + 1, after)
+        last_change = next((changed for name, _, changed in rows if name == row), 0)
+        if last_change > base:
+            return (not is_known or op.output == 0, state)
+        other_rows = [item for item in rows if item[0] != row]
+        next_state = (
+            version + 1,
+            tuple(sorted([*other_rows, (row, value, version + 1)])),
+        )
+        return (not is_known or op.output == version + 1, next_state)
 
 
 async def run_operator(
@@ -299,7 +304,7 @@
 ) -> None:
     """Propose one edit and record what its operator is told."""
     row, value, base = change
-    edit = client.make_edit(base, make_change(row, value), Proposal(name, "history"))
+    edit = client.make_edit(base, build_change(row, value), Proposal(name, "history"))
 
     async def propose() -> int:
         try:
@@ -315,7 +320,7 @@
         pass
 
 
-async def disturb_log(log: InMemoryLogService, rng: random.Random) -> None:
+async def inject_log_faults(log: InMemoryLogService, rng: random.Random) -> None:
     """Cause faults of the log, for as long as operators work."""
     while True:
         await asyncio.sleep(rng.uniform(0.2, 3))
@@ -342,13 +347,13 @@
 
 def run_operator_history(
     seed: int,
-    make_client: Callable[..., TableClient] = TableClient,
+    create_client: Callable[..., TableClient] = TableClient,
     operators: int = 3,
     edits: int = 4,
 ) -> detangle.History:
     """Run one history of operators who edit at the same time.
 
-    :param make_client: builds their clients; tests plant faults with it.
+    :param create_client: builds their clients; tests plant faults with it.
     """
     rng = random.Random(seed)
     history = detangle.History()
@@ -356,15 +361,15 @@
     async def main() -> None:
         faults = LogFaults(delay_ms=1, retention_records=12)
         log = InMemoryLogService(LoopClock(), faults)
-        make = lambda: make_client(log, LoopClock(), rng)  # noqa: E731
+        create = lambda: create_client(log, LoopClock(), rng)  # noqa: E731
         background = [
-            asyncio.create_task(disturb_log(log, rng)),
-            asyncio.create_task(write_snapshots(log, make(), rng, 0.5)),
-            asyncio.create_task(write_snapshots(log, make(), rng, 12)),
+            asyncio.create_task(inject_log_faults(log, rng)),
+            asyncio.create_task(write_snapshots(log, create(), rng, 0.5)),
+            asyncio.create_task(write_snapshots(log, create(), rng, 12)),
         ]
         names = [str(index) for index in range(operators)]
         await asyncio.gather(
-            *(run_operator(name, make(), history, rng, edits) for name in names)
+            *(run_operator(name, create(), history, rng, edits) for name in names)
         )
         for task in background:
             task.cancel()
--- a/benchmarks/table_size.py
+++ b/benchmarks/table_size.py
@@ -21,12 +21,12 @@
     encode_snapshot,
 )
 
-SERVICES = 460
-ROUTES = 10_000
-ACCOUNTS = 47_000
-BACKEND_SERVERS = 19_000
-EDITS = 200
-REMEMBERED_EDITS = 1_024
+SERVICE_COUNT = 460
+ROUTE_COUNT = 10_000
+ACCOUNT_COUNT = 47_000
+BACKEND_SERVER_COUNT = 19_000
+EDIT_COUNT = 200
+REMEMBERED_EDIT_COUNT = 1_024
 
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
@@ -53,28 +53,28 @@
     edit_us: float
 
 
-def make_snapshot(rng: random.Random) -> bytes:
+def build_snapshot(rng: random.Random) -> bytes:
     """Return an encoded snapshot of a random table of the design size."""
-    services = [f"service-{index:03d}" for index in range(SERVICES)]
+    services = [f"service-{index:03d}" for index in range(SERVICE_COUNT)]
     table = Table()
     for name in services:
         limit = rng.randrange(1_000)
         table.services[name] = ServiceRow(name, 3.0, concurrency_limit=limit)
-    for index in range(ROUTES):
+    for index in range(ROUTE_COUNT):
         key = f"{rng.choice(services)}/route-{index}"
         table.routes[key] = RouteRow(key, rng.randrange(100), rng.randrange(100, 9_000))
-    for index in range(BACKEND_SERVERS):
+    for index in range(BACKEND_SERVER_COUNT):
         host = f"10.{index >> 16 & 255}.{index >> 8 & 255}.{index & 255}"
-        key = f"{services[index % SERVICES]}/{host}:{rng.randrange(1024, 65_536)}"
+        key = f"{services[index % SERVICE_COUNT]}/{host}:{rng.randrange(1024, 65_536)}"
         table.backend_servers[key] = table.backend_servers.make_row(
             key, round(rng.uniform(0.1, 2), 2)
         )
-    for _ in range(ACCOUNTS):
+    for _ in range(ACCOUNT_COUNT):
         key = f"{rng.choice(services)}/account-{rng.getrandbits(40):010x}"
         rate = float(rng.randrange(1, 50))
         table.accounts[key] = table.accounts.make_row(key, rate)
     fold = TableFold(table, content_hash=hash_table(table))
-    for index in range(REMEMBERED_EDITS):
+    for index in range(REMEMBERED_EDIT_COUNT):
         edit_server(fold, index, rng)
     return encode_snapshot(fold)
 
@@ -100,7 +100,7 @@
 def measure_size(seed: int) -> SizeFigures:
     """Measure loading, memory and edits at the design size."""
     rng = random.Random(seed)
-    data = make_snapshot(rng)
+    data = build_snapshot(rng)
     resident_mb = measure_resident(data)
     started = time.perf_counter()
     fold = decode_snapshot(data)
@@ -109,10 +109,10 @@
     encode_snapshot(fold)
     encode_ms = (time.perf_counter() - started) * 1e3
     started = time.perf_counter()
-    for index in range(EDITS):
+    for index in range(EDIT_COUNT):
         edit_server(fold, index, rng)
-    edit_us = (time.perf_counter() - started) * 1e6 / EDITS
-    rows = SERVICES + ROUTES + ACCOUNTS + BACKEND_SERVERS
+    edit_us = (time.perf_counter() - started) * 1e6 / EDIT_COUNT
+    rows = SERVICE_COUNT + ROUTE_COUNT + ACCOUNT_COUNT + BACKEND_SERVER_COUNT
     held_mb = measure_held(data)
     return SizeFigures(
         rows, len(data), encode_ms, load_ms, held_mb, resident_mb, edit_us
@@ -144,10 +144,10 @@
     tracemalloc.start()
     fold = decode_snapshot(data)
     gc.collect()
-    held = tracemalloc.get_traced_memory()[0] / 1e6
+    held_mb = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     assert fold.version
-    return held
+    return held_mb
 
 
 if __name__ == "__main__":
--- a/features/steps/evidence_steps.py
+++ b/features/steps/evidence_steps.py
@@ -6,8 +6,8 @@
 import attrs
 from behave import given, then, when
 from benchmarks.detection_faults import Fault
+from benchmarks.detection_simulation import Simulation
 from benchmarks.detection_users import ADDIS, HOKKAIDO
-from benchmarks.detection_world import World
 
 from wagtailstep.controllers import evidence_evaluation, evidence_sharing
 from wagtailstep.controllers.avoidance import Phase
@@ -325,18 +325,20 @@
     end_s = context.service.onset_s + seconds
     scenario = attrs.evolve(context.service, fault=Fault(fault), end_s=end_s)
     context.simulated = [
-        World(scenario, seed).run(lambda w: w.all_detected())
+        Simulation(scenario, seed).run(lambda w: w.all_detected())
         for seed in range(context.count)
     ]
 
 
 @then("the sick target was found within {limit:d} ms in each")
 def check_found(context, limit):
-    times = [w.detected_at.get(n, 99) for w in context.simulated for n in w.sick]
+    times = [
+        w.detected_at.get(n, 99) for w in context.simulated for n in w.faulty_targets
+    ]
     assert max(times) * 1_000 <= limit, times
 
 
 @then("no healthy target was taken out and the floor held")
 def check_harmless(context):
     for world in context.simulated:
-        assert not world.false_ejections and not world.floor_broken
+        assert not world.false_ejections and not world.floor_violations
--- a/features/steps/table_races_steps.py
+++ b/features/steps/table_races_steps.py
@@ -6,7 +6,7 @@
 from benchmarks.table_fleet import TableFleet
 from benchmarks.table_histories import (
     TableModel,
-    make_change,
+    build_change,
     run_fleet_history,
     run_operator_history,
 )
@@ -119,18 +119,18 @@
 
 @given('table daemons with the planted fault "{fault}"')
 def choose_controller(context, fault):
-    context.make_controller = CONTROLLERS[fault]
+    context.create_controller = CONTROLLERS[fault]
 
 
 @given('table operators with the planted fault "{fault}"')
 def choose_client(context, fault):
-    context.make_client = CLIENTS[fault]
+    context.create_client = CLIENTS[fault]
 
 
 @when("table daemons run the histories {first:d} to {last:d}")
 def run_daemons(context, first, last):
     histories = (
-        run_fleet_history(seed, context.make_controller)
+        run_fleet_history(seed, context.create_controller)
         for seed in range(first, last + 1)
     )
     context.found = [fault for history in histories for fault in history.find_faults()]
@@ -140,7 +140,7 @@
 def run_operators(context, first, last):
     context.found = []
     for seed in range(first, last + 1):
-        history = run_operator_history(seed, context.make_client)
+        history = run_operator_history(seed, context.create_client)
         result = history.check(TableModel())
         if not result.ok:
             context.found.append(f"seed {seed}: {result.explain()}")
@@ -158,18 +158,18 @@
 
 @when("the only daemon that read a version restarts while the log is away")
 def restart_only_reader(context):
-    fleet = TableFleet(1, 3, make_controller=context.make_controller)
+    fleet = TableFleet(1, 3, create_controller=context.create_controller)
     utc = fleet.clock.utc()
-    fleet.append_edit(TableEdit("e1", 0, "a", "b", utc, make_change("s", 1)))
+    fleet.append_edit(TableEdit("e1", 0, "a", "b", utc, build_change("s", 1)))
     fleet.run(timedelta(seconds=5))
     for name in ("d0001", "d0002"):
         fleet.daemons[name].reads_log = False
-        fleet.network.cuts.add(("d0000", name))
-    fleet.append_edit(TableEdit("e2", 1, "a", "b", utc, make_change("s", 2)))
+        fleet.network.blocked_links.add(("d0000", name))
+    fleet.append_edit(TableEdit("e2", 1, "a", "b", utc, build_change("s", 2)))
     fleet.run(timedelta(milliseconds=600))
     fleet.log.faults.away = True
     fleet.restart("d0000", timedelta(seconds=1))
-    fleet.network.cuts.clear()
+    fleet.network.blocked_links.clear()
     fleet.run(timedelta(seconds=20))
     assert fleet.versions_in_force() != {None}
     context.found = fleet.find_reverts()
--- a/features/steps/table_steps.py
+++ b/features/steps/table_steps.py
@@ -317,7 +317,7 @@
     for name in names[:count]:
         fleet.daemons[name].reads_log = False
         if cut != "nothing else fails":
-            fleet.network.cuts |= {(name, other) for other in names}
+            fleet.network.blocked_links |= {(name, other) for other in names}
 
 
 @when("another edit is accepted")
@@ -391,11 +391,11 @@
     fleet.log.faults.retention_records = 1
     fleet.log.expire("table")
     cuts = {(name, "d0000") for name in fleet.daemons}
-    fleet.network.cuts |= cuts
+    fleet.network.blocked_links |= cuts
     fleet.restart("d0000", timedelta(seconds=1))
     fleet.run(timedelta(seconds=1.5))
     assert fleet.daemons["d0000"].controller.reader.position > 0
-    fleet.network.cuts -= cuts
+    fleet.network.blocked_links -= cuts
 
 
 @then("the replaced daemon has the rows of the others and reported the difference")
