--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,9 +1,8 @@
 """Measure bytes, processor time and memory of membership and dissemination.
 
-Run with ``python -m benchmarks.control --seed=1``. Controllers of whole fleets run
-on an in-memory bus with a manual clock; a few daemons are observed, and what they
-send and receive is really encoded and decoded. ``--largest=600`` leaves out the
-size that takes minutes.
+Run with ``python -m benchmarks.control --seed=1``. The controllers of whole fleets run
+on an in-memory bus with a manual clock. A few daemons are observed; only their messages
+are encoded and decoded. ``--largest=600`` skips the largest fleet, which takes minutes.
 """
 
 import pathlib
@@ -41,12 +40,12 @@
 
 @attrs.frozen
 class Case:
-    """One measured fleet.
+    """Parameters of one measured fleet.
 
-    :param name: what is varied.
-    :param shape: the fleet.
-    :param settings: how it is set.
-    :param pull_only: whether heartbeats are pulled only.
+    :param name: the parameter that differs from the other cases.
+    :param shape: size and services of the fleet.
+    :param settings: membership settings of its daemons.
+    :param pull_only: whether heartbeats are only pulled, never pushed.
     :param restarts: daemons restarted per second.
     """
 
@@ -59,13 +58,14 @@
 
 @attrs.frozen
 class Result:
-    """What one observed daemon did in a case, on average and per second.
+    """Load and errors of the observed daemons in one case.
 
-    :param interested: other daemons with targets that concern it.
-    :param load: its load.
+    :param case: the case.
+    :param interested: mean number of members with targets that a daemon needs.
+    :param load: mean load of one daemon, per second.
     :param lapses: leases of healthy targets that lapsed during the measurement.
-    :param missing: targets that it lacked at the end, of all that it needed.
-    :param needed: targets that it needed.
+    :param missing: targets that the daemons did not know at the end.
+    :param needed: targets that they should have known.
     """
 
     case: Case
@@ -94,13 +94,13 @@
 def build_shape(
     daemons: int, wants: int = 6, targets_per_service: int = 4
 ) -> FleetShape:
-    """Return a fleet with as many services per daemon as the design size has."""
+    """Build a fleet shape with the design size's ratio of services to daemons."""
     services = max(2, round(daemons * DESIGN_SERVICES / DESIGN_DAEMONS))
     return FleetShape(daemons, services, 3, wants, targets_per_service)
 
 
 def build_cases(largest: int) -> list[Case]:
-    """Return all cases, the cheap ones first."""
+    """Return all cases, the fastest ones first."""
     current_shape = FleetShape(26, 2, 1, 1, 1)
     cases = [
         Case("today", current_shape, DEFAULT_SETTINGS),
@@ -135,7 +135,7 @@
 
 
 def format_result(result: Result) -> list[str]:
-    """Return the columns of one row."""
+    """Return the cells of one row of the table."""
     shape = result.case.shape
     return [
         result.case.name,
@@ -170,7 +170,7 @@
 def summarize_figures(
     results: list[Result], memory: list[MemoryUse], cost: ChannelCost, report: Report
 ) -> dict[str, float]:
-    """Work out slopes and the figures at the design size."""
+    """Fit slopes, add them to the report and return the figures at design size."""
     interest_results = [
         r for r in results if r.case.name in ("daemons", "wanted services")
     ]
@@ -212,10 +212,10 @@
 
 
 def main(seed: int = 1, largest: int = DESIGN_DAEMONS) -> None:
-    """Measure all cases and write the page.
+    """Measure all cases and write the page of results.
 
     :param seed: seed of all random choices.
-    :param largest: largest fleet that is run, in daemons.
+    :param largest: largest number of daemons of a fleet to run.
     """
     report = Report("Membership and dissemination", "control", seed)
     cost = measure_channel()
--- a/benchmarks/control_bad_hours.py
+++ b/benchmarks/control_bad_hours.py
@@ -1,8 +1,8 @@
-"""Measure membership and dissemination while much fails at once.
+"""Measure membership and dissemination during failures of many daemons.
 
 Run with ``python -m benchmarks.control_bad_hours --seed=1``. A fleet of real
-controllers on the in-memory bus loses an availability zone, loses a region and gets
-it back, and is restarted as a whole.
+controllers on the in-memory bus loses an availability zone, is partitioned from a
+region and reconnected, and has daemons restarted at a high rate.
 """
 
 import pathlib
@@ -35,14 +35,16 @@
 
 @attrs.frozen
 class FaultResult:
-    """What was seen.
-
-    :param name: what happened.
-    :param seconds: time until the fleet agreed, negative if it didn't in time.
-    :param peak_bytes: most bytes sent and received by a daemon in half a second,
-        per second, on average of the observed daemons.
-    :param mean_bytes: bytes sent and received per second, on average.
-    :param cpu_percent: processor time of controllers and codec, on average.
+    """Convergence time and load after a failure.
+
+    The names of the fields are the headings of the table. Loads are means over the
+    observed daemons.
+
+    :param name: the failure and the state that is waited for.
+    :param seconds: time until the fleet reached this state; negative after a time-out.
+    :param peak_bytes: most bytes per second sent and received in any time step.
+    :param mean_bytes: mean bytes per second sent and received.
+    :param cpu_percent: processor time of controllers and codec.
     """
 
     name: str
@@ -55,7 +57,7 @@
 def run_until(
     bus: MeasuredBus, name: str, has_converged: Callable[[], bool], timeout_s: float
 ) -> FaultResult:
-    """Let time pass until the fleet agrees or the time is over."""
+    """Advance time until the fleet has converged or a time-out ends."""
     started = bus.clock.monotonic()
     rates, cpu_s, seconds = [], 0.0, -1.0
     while bus.clock.monotonic() - started < timedelta(seconds=timeout_s):
@@ -73,7 +75,7 @@
 
 
 def get_daemons_in_zones(bus: MeasuredBus, zones: Iterable[str]) -> list[BusNode]:
-    """Return the daemons of some availability zones."""
+    """Return the daemons in some availability zones."""
     requested_zones = set(zones)
     return [
         node
@@ -83,7 +85,7 @@
 
 
 def use_any_target_of(nodes: list[BusNode], daemon_ids: set[str]) -> bool:
-    """Tell whether daemons still use targets beside others."""
+    """Return whether any of these nodes still uses targets of given daemons."""
     return any(
         target.daemon_id in daemon_ids
         for node in nodes
@@ -92,7 +94,10 @@
 
 
 def all_have_state(nodes: list[BusNode], names: set[str], state: MemberState) -> bool:
-    """Tell whether daemons all believe the same of others."""
+    """Return whether all of these nodes see the named members in a state.
+
+    Members that a node has forgotten are not counted.
+    """
     return all(
         node.blackboard.members[name].state is state
         for node in nodes
@@ -102,7 +107,7 @@
 
 
 def all_consider_alive(nodes: list[BusNode]) -> bool:
-    """Tell whether daemons all hold each other for alive."""
+    """Return whether all of these nodes consider each other alive."""
     names = {node.daemon_id for node in nodes}
     return all(
         names <= node.blackboard.members.keys() for node in nodes
@@ -110,12 +115,12 @@
 
 
 def count_targets(nodes: list[BusNode]) -> int:
-    """Return the targets that daemons use, added up."""
+    """Return the number of targets in use, summed over nodes."""
     return sum(len(node.blackboard.targets) for node in nodes)
 
 
 def lose_zone(bus: MeasuredBus) -> list[FaultResult]:
-    """End all daemons of a zone at once."""
+    """Stop all daemons of a zone at once."""
     lost_nodes = get_daemons_in_zones(bus, ["zone-00"])
     names = {node.daemon_id for node in lost_nodes}
     surviving_nodes = [
@@ -141,7 +146,7 @@
 
 
 def lose_region(bus: MeasuredBus) -> list[FaultResult]:
-    """Cut a region off both ways and mend the cut."""
+    """Partition a region in both directions, then reconnect it."""
     inside = get_daemons_in_zones(bus, REGION_ZONES)
     names = {node.daemon_id for node in inside}
     outside = [node for node in bus.nodes.values() if node.daemon_id not in names]
@@ -186,7 +191,7 @@
 
 
 def restart_all(bus: MeasuredBus) -> list[FaultResult]:
-    """Restart as many daemons as there are, in turns of an even rate."""
+    """Restart random daemons at a constant rate, half as many as the fleet has."""
     bus.load = Load()
     count = DAEMONS // 2
     remaining_restarts = iter(range(count))
@@ -203,7 +208,7 @@
 
 
 def main(seed: int = 1) -> None:
-    """Measure the bad hours and write the page.
+    """Measure all failures and write the page of results.
 
     :param seed: seed of all random choices.
     """
--- a/benchmarks/control_channel.py
+++ b/benchmarks/control_channel.py
@@ -1,4 +1,4 @@
-"""Processor time that the ZeroMQ channel takes for a message and a connection."""
+"""Measure the processor time of the ZeroMQ channel per message and connection."""
 
 import asyncio
 import time
@@ -21,10 +21,10 @@
 
 @attrs.frozen
 class ChannelCost:
-    """Processor time of both ends together, ZeroMQ's own thread included.
+    """Processor time of both endpoints together, including ZeroMQ's I/O threads.
 
-    :param seconds_per_message: for one message sent and received.
-    :param seconds_per_connection: for one connection opened, used once, closed.
+    :param seconds_per_message: time to send and receive one message.
+    :param seconds_per_connection: time to open a connection and close it again.
     """
 
     seconds_per_message: float
@@ -32,14 +32,14 @@
 
 
 def create_channel(daemon_id: str) -> ZeroMqPeerChannel:
-    """Make a channel on a free port of loopback."""
+    """Create a channel on a free loopback port."""
     address = "127.0.0.1:0"
     settings = DaemonSettings(daemon_id, "bole", address, address, address, address)
     return ZeroMqPeerChannel(settings, LoopClock())
 
 
 async def run_channels() -> ChannelCost:
-    """Send messages between two channels of this process."""
+    """Measure messages and connections between two channels in this process."""
     sender, receiver = create_channel("sender"), create_channel("receiver")
     await sender.start(discard_message)
     await receiver.start(discard_message)
@@ -65,11 +65,11 @@
 
 
 def discard_message(sender: str, message: object) -> None:
-    """Take a message and do nothing."""
+    """Discard a received message."""
 
 
 def send_burst(sender: ZeroMqPeerChannel, address: str, message: object) -> None:
-    """Send a few messages."""
+    """Send ``BURST_SIZE`` messages."""
     for _ in range(BURST_SIZE):
         sender.send(address, message)
 
@@ -77,7 +77,7 @@
 def send_on_new_connection(
     sender: ZeroMqPeerChannel, address: str, message: object
 ) -> None:
-    """Send one message on a new connection."""
+    """Close the current connection and send one message on a new one."""
     connection = sender.connections.pop(address, None)
     if connection is not None:
         connection.socket.close()
@@ -85,7 +85,10 @@
 
 
 async def measure_cpu(action: Callable[[], None], times: int) -> float:
-    """Return the processor time of this process while an action is repeated."""
+    """Return the processor time of this process while repeating an action.
+
+    Includes the pauses between repetitions, which let the channels run.
+    """
     started = time.process_time()
     for _ in range(times):
         action()
@@ -94,5 +97,5 @@
 
 
 def measure_channel() -> ChannelCost:
-    """Measure the channel on loopback."""
+    """Measure the cost of the channel on loopback."""
     return asyncio.run(run_channels())
--- a/benchmarks/control_daemons.py
+++ b/benchmarks/control_daemons.py
@@ -1,8 +1,8 @@
 """Measure idle daemons as real processes: processor time, memory, control bytes.
 
-Run with ``python -m benchmarks.control_daemons --seed=1``. Starts one log-service
-stand-in, one process with all backend servers, and daemons on loopback; each is
-ended by its own id.
+Run with ``python -m benchmarks.control_daemons --seed=1``. Starts a fake log service,
+one process with all fake backend servers, and daemons, all on loopback. Stops each
+process by its process id.
 """
 
 import json
@@ -40,11 +40,11 @@
 
 @attrs.frozen
 class ProcessLoad:
-    """What one daemon used.
+    """Resources that one daemon used.
 
     :param cpu_percent: processor time in percent of a core.
     :param resident_mb: resident memory.
-    :param private_mb: resident memory that it shares with no other process.
+    :param private_mb: resident memory that is not shared with other processes.
     :param sent_bytes: control bytes sent per second.
     :param received_bytes: control bytes received per second.
     :param messages: control messages sent and received per second.
@@ -82,20 +82,20 @@
 
 
 def start_program(name: str, *arguments: str, output: pathlib.Path) -> subprocess.Popen:
-    """Start one of the programs of the package."""
+    """Start one of the package's command-line programs."""
     command = [sys.executable, "-c", PROGRAM_CODE.format(name=name), *arguments]
     with output.open("w") as file:
         return subprocess.Popen(command, stdout=file, stderr=subprocess.STDOUT)
 
 
 def read_cpu_s(pid: int) -> float:
-    """Return the processor time of a process so far."""
+    """Return the processor time that a process has used, in seconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def read_memory_mb(pid: int) -> tuple[float, float]:
-    """Return resident memory of a process, and the part that it does not share."""
+    """Return the resident memory of a process and the private part of it."""
     text = pathlib.Path(f"/proc/{pid}/smaps_rollup").read_text()
     sizes = dict(re.findall(r"^(\w+):\s+(\d+) kB", text, re.MULTILINE))
     private = int(sizes["Private_Clean"]) + int(sizes["Private_Dirty"])
@@ -103,14 +103,14 @@
 
 
 def read_counters(output: pathlib.Path) -> dict[str, float]:
-    """Return what a daemon's channel carried, from its last log lines."""
+    """Return a daemon's channel counters, which it logs when it shuts down."""
     found = re.findall(r"event=channel-closed (.*)", output.read_text())
     pairs = (pair.split("=") for pair in found[-1].split())
     return {key: float(value) for key, value in pairs}
 
 
 def stop_process(process: subprocess.Popen) -> None:
-    """End a process by its own id."""
+    """Terminate a process; kill it if it does not exit in time."""
     if process.poll() is None:
         process.send_signal(signal.SIGTERM)
     try:
@@ -121,7 +121,10 @@
 
 
 def run_size(count: int, seed: int, folder: pathlib.Path) -> list[ProcessLoad]:
-    """Run a fleet of some size and return the load of each daemon."""
+    """Run a fleet and return the load of each daemon.
+
+    :return: empty if a fake service ended early.
+    """
     log_address, *ports = pick_addresses(1 + 5 * count)
     backend_addresses = ports[:count]
     daemons = plan_daemons(ports[count:], seed, log_address)
@@ -162,9 +165,9 @@
 
 
 def run_with_retries(count: int, seed: int) -> list[ProcessLoad]:
-    """Run a fleet again if a stand-in lost its port to another process.
+    """Run a fleet; retry if a fake service lost its port to another process.
 
-    :raises RuntimeError: if that happened each time.
+    :raises RuntimeError: if that happened in all attempts.
     """
     for _ in range(MAX_ATTEMPTS):
         with tempfile.TemporaryDirectory() as folder:
@@ -178,7 +181,7 @@
 def measure_daemons(
     processes: dict[pathlib.Path, subprocess.Popen],
 ) -> list[ProcessLoad]:
-    """Measure running daemons, end them, and read what their channels carried."""
+    """Measure running daemons, stop them and read their channel counters."""
     started = time.monotonic()
     time.sleep(WARM_UP_S)
     processes = remove_exited(processes)
@@ -213,7 +216,7 @@
 def remove_exited(
     processes: dict[pathlib.Path, subprocess.Popen],
 ) -> dict[pathlib.Path, subprocess.Popen]:
-    """Leave out daemons that have ended, and print their last line."""
+    """Return the daemons that still run; print the last line of each other."""
     for path, process in processes.items():
         if process.poll() is not None:
             last = path.read_text().splitlines()[-1:]
@@ -224,15 +227,15 @@
 
 
 def mean(loads: list[ProcessLoad], name: str) -> float:
-    """Return the mean of one figure over all daemons."""
+    """Return the mean of one field of the loads."""
     return sum(getattr(load, name) for load in loads) / len(loads)
 
 
 def main(seed: int = 1, sizes: tuple[int, ...] = SIZES) -> None:
-    """Measure fleets of several sizes and write the page.
+    """Measure fleets of several sizes and write the page of results.
 
     :param seed: seed of the daemons' random choices.
-    :param sizes: numbers of daemons.
+    :param sizes: numbers of daemons of the fleets.
     """
     report = Report("Daemons as processes", "control_daemons", seed)
     names = [field.name for field in attrs.fields(ProcessLoad)]
--- a/benchmarks/control_fleet.py
+++ b/benchmarks/control_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of real membership and dissemination controllers on the in-memory bus."""
+"""Run fleets of real membership and dissemination controllers on an in-memory bus."""
 
 import functools
 import random
@@ -24,13 +24,13 @@
 
 @attrs.frozen
 class FleetShape:
-    """What a fleet consists of.
+    """Size and services of a fleet.
 
     :param daemons: number of daemons.
     :param services: number of services.
-    :param serves: services that each daemon has backend servers of.
-    :param wants: further services that each daemon asks for.
-    :param targets_per_service: backend servers of one service beside one daemon.
+    :param served_per_daemon: services with backend servers beside each daemon.
+    :param requested_per_daemon: further services whose targets each daemon needs.
+    :param targets_per_service: backend servers of each served service per daemon.
     """
 
     daemons: int
@@ -47,10 +47,10 @@
 
 @attrs.define
 class Load:
-    """What the observed daemons did during a measurement.
+    """Messages and processor time of the observed daemons during a measurement.
 
     :param sent: messages sent by type.
-    :param sent_bytes: their encoded size by type, sender and stamp included.
+    :param sent_bytes: their encoded size by type, with sender and logical time.
     :param received: messages received.
     :param received_bytes: their encoded size.
     :param cpu_s: processor time of controllers and codec.
@@ -70,13 +70,13 @@
 
 
 def decode_stamped(frames: list[bytes]) -> Any:
-    """Decode what :func:`encode_stamped` made."""
+    """Decode the frames that :func:`encode_stamped` built."""
     return decode_message(decode_message(frames[1]).body)
 
 
 @functools.lru_cache(maxsize=100_000)
 def intern_member(entry: MemberEntry) -> Member:
-    """Make one member for all daemons of this process."""
+    """Return one shared member for equal entries, to save memory in this process."""
     return _TO_MEMBER(entry)
 
 
@@ -85,7 +85,7 @@
 
 
 class MeasuredBus(ControlBus):
-    """A bus that measures what some of its daemons do.
+    """A bus that measures the load of some of its daemons.
 
     :param seed: seed of all random choices.
     """
@@ -98,7 +98,7 @@
         self.load = Load()
 
     def send(self, node: BusNode, effect: SendToPeer) -> None:
-        """Carry one message, and encode it if an observed daemon is at an end."""
+        """Send one message; encode it if an observed daemon sends or receives it."""
         receiver = self.addresses.get(effect.address)
         sends = node.daemon_id in self.observed
         receives = receiver is not None and receiver.daemon_id in self.observed
@@ -123,7 +123,7 @@
         self.load.received_bytes += size
 
     def dispatch(self, node: BusNode, event: Any) -> None:
-        """Give an event to a daemon, and take the time if it is observed."""
+        """Dispatch an event to a daemon, and measure the time if it is observed."""
         if node.daemon_id not in self.observed:
             super().dispatch(node, event)
             return
@@ -135,7 +135,7 @@
 
 
 def build_fleet(shape: FleetShape, settings: MembershipSettings, seed: int) -> Any:
-    """Start a fleet whose daemons all know each other.
+    """Start a fleet whose daemons all know all members.
 
     :return: the bus.
     """
@@ -177,7 +177,7 @@
 def set_services(
     node: BusNode, serves: tuple[str, ...], wants: tuple[str, ...]
 ) -> None:
-    """Fill in the services of a daemon as if it had announced them."""
+    """Set the services of a daemon as if it had announced them."""
     member = attrs.evolve(
         node.blackboard.this_member, serves=serves, services=serves + wants
     )
@@ -186,7 +186,7 @@
 
 
 def measure_load(bus: MeasuredBus, warm_up_s: float, duration_s: float) -> Load:
-    """Run a fleet and return the load of one observed daemon, per second."""
+    """Run a fleet and return the mean load per second of an observed daemon."""
     run_with_restarts(bus, warm_up_s)
     bus.load = Load()
     bus.lapses_before = count_lapsed_leases(bus)
@@ -197,7 +197,7 @@
 def schedule_restarts(
     bus: MeasuredBus, per_second: int, start_s: float, end_s: float
 ) -> None:
-    """Plan restarts of daemons that are not observed, at a steady rate."""
+    """Schedule restarts of daemons that are not observed, at a constant rate."""
     count = round((end_s - start_s) * per_second)
     bus.restarts = [
         timedelta(seconds=start_s + index / per_second) for index in range(count)
@@ -205,7 +205,7 @@
 
 
 def run_with_restarts(bus: MeasuredBus, duration_s: float) -> None:
-    """Let time pass and restart daemons when planned."""
+    """Advance time and restart daemons at the scheduled times."""
     end = bus.clock.monotonic() + timedelta(seconds=duration_s)
     while bus.restarts and bus.restarts[0] < end:
         bus.run(bus.restarts.pop(0) - bus.clock.monotonic())
@@ -214,7 +214,7 @@
 
 
 def restart_random_daemon(bus: MeasuredBus) -> None:
-    """Replace a daemon by one of the same name that knows one other daemon."""
+    """Replace a random daemon by a new one with its name that has one seed peer."""
     names = sorted(name for name in bus.nodes if name not in bus.observed)
     daemon_id = bus.rng.choice(names)
     old_node = bus.nodes[daemon_id]
@@ -247,7 +247,7 @@
 
 
 def count_missing_targets(bus: MeasuredBus) -> tuple[int, int]:
-    """Return how many targets observed daemons lack, and how many they need."""
+    """Return how many targets observed daemons don't know and how many they need."""
     missing = needed = 0
     targets = [t for node in bus.nodes.values() for t in node.announced.values()]
     for name in bus.observed:
@@ -259,7 +259,7 @@
 
 
 def count_lapsed_leases(bus: MeasuredBus) -> int:
-    """Return the leases of observed daemons that lapsed so far."""
+    """Return how many leases of targets have lapsed at observed daemons so far."""
     return sum(
         event.kind == "targets-lapsed"
         for name in bus.observed
@@ -268,10 +268,10 @@
 
 
 class PullOnlyQueue(DigestQueue):
-    """A queue that sends no digests unasked, so that all heartbeats are pulled."""
+    """A queue that pushes no digests, so that all heartbeats are pulled."""
 
     def add(self, daemon_id: str, services: frozenset[str]) -> None:
-        """Send nothing."""
+        """Queue nothing."""
 
 
 def make_fleet_pull_only(bus: MeasuredBus) -> None:
--- a/benchmarks/control_memory.py
+++ b/benchmarks/control_memory.py
@@ -1,4 +1,4 @@
-"""Memory of the member table and of the targets that one daemon holds."""
+"""Measure the memory of the member table and targets that one daemon holds."""
 
 import gc
 import random
@@ -32,8 +32,8 @@
 class MemoryUse:
     """Memory of one daemon's control plane.
 
-    :param members: daemons in the member table.
-    :param table_bytes: memory allocated by filling it, targets included.
+    :param members: number of members in its table.
+    :param table_bytes: memory allocated for the table and the targets.
     """
 
     members: int
@@ -41,7 +41,10 @@
 
 
 def build_entry(index: int) -> MemberEntry:
-    """Return the entry of a daemon, decoded as one from the network is."""
+    """Build the member entry of a daemon.
+
+    It is encoded and decoded, so that it uses as much memory as a received one.
+    """
     first = index * SERVED_PER_DAEMON
     names = [f"service-{(first + i) % SERVICES:03d}" for i in range(SERVED_PER_DAEMON)]
     wants = [
@@ -63,7 +66,7 @@
 
 
 def build_update(entry: MemberEntry) -> TargetsUpdate:
-    """Return the targets beside a daemon."""
+    """Build the update that announces the targets beside a daemon."""
     targets = [
         TargetEntry(f"{service}/{entry.daemon_id}.test:{8000 + port}", 4, 1, 1)
         for service in entry.serves
@@ -83,7 +86,10 @@
 def create_filled_controllers(
     members: int,
 ) -> tuple[MembershipController, DisseminationController]:
-    """Let one daemon hear of a whole fleet, and of the targets that concern it."""
+    """Create the controllers of a daemon that has received a fleet's members.
+
+    It has also received the targets of the services that it needs.
+    """
     settings = DaemonSettings(
         "observed", "bole", "a:1", "a:2", "a:3", "127.0.0.1:4", log_level="ERROR"
     )
@@ -109,7 +115,10 @@
 
 
 def measure_memory(members: int) -> MemoryUse:
-    """Return the memory that a member table of some size takes."""
+    """Measure the memory of a member table.
+
+    :param members: number of members in it.
+    """
     create_filled_controllers(10)
     gc.collect()
     tracemalloc.start()
--- a/benchmarks/detection.py
+++ b/benchmarks/detection.py
@@ -1,7 +1,7 @@
 """Measure detection time, false ejections and the floor, against two baselines.
 
 Run as ``python -m benchmarks.detection --seed=1``. Writes
-``docs/measurements/detection.md`` and ends with one line of key=value pairs.
+``docs/measurements/detection.md`` and prints a summary as key=value pairs last.
 """
 
 import itertools
@@ -36,7 +36,13 @@
 
 @attrs.frozen
 class Job:
-    """One run."""
+    """One simulation to run.
+
+    :param user: owner of the simulated service.
+    :param policy: key of ``POLICIES``.
+    :param scenario: what to simulate.
+    :param seed: seed of all random choices.
+    """
 
     user: str
     policy: str
@@ -46,16 +52,17 @@
 
 @attrs.frozen
 class Result:
-    """What one run showed.
-
-    :param times_ms: detection time of each sick target; the length of the run
-        after the onset if it was not found.
-    :param missed: sick targets that were not found.
-    :param sent: requests sent to sick targets after the onset.
-    :param false_ejections: healthy targets taken out by all or most daemons.
-    :param target_hours: simulated time of healthy targets.
-    :param lowest_weight: lowest weight in service, in any view or for the union.
-    :param floor_violations: samples with less weight than the floor.
+    """Measurements of one simulation.
+
+    :param times_ms: detection time of each faulty target; the length of the run after
+        the onset of the fault if it was not detected.
+    :param missed: number of faulty targets that were not detected.
+    :param sent: requests sent to faulty targets after the onset.
+    :param false_ejections: healthy targets ejected, or avoided by most daemons.
+    :param target_hours: simulated hours, multiplied by the number of targets.
+    :param lowest_weight: lowest weight in service, in the view of any daemon or
+        without the targets that any daemon considers ejected.
+    :param floor_violations: samples in which it was below the floor.
     """
 
     user: str
@@ -73,7 +80,7 @@
 
 
 def run_job(job: Job) -> Result:
-    """Run one job."""
+    """Run one simulation."""
     simulation = Simulation(job.scenario, job.seed, POLICIES[job.policy])
     simulation.run(lambda w: is_complete(w))
     observed_s = job.scenario.end_s - job.scenario.onset_s
@@ -98,7 +105,11 @@
 
 
 def is_complete(simulation: Simulation) -> bool:
-    """Tell whether all that is to be seen of a run was seen."""
+    """Return whether a simulation needs no more time.
+
+    That is some time after the detection of all faulty targets, so that false
+    ejections after a detection are seen too.
+    """
     if (
         not simulation.all_detected()
         or simulation.scenario.fault in FAULTS_WITHOUT_FAULTY_TARGET
@@ -109,7 +120,7 @@
 
 
 def build_jobs(seed: int, runs: int) -> list[Job]:
-    """Return all jobs, the longest first."""
+    """Build the jobs for all services, faults and policies."""
     jobs = []
     for user, services in (("addis", ADDIS), ("hokkaido", HOKKAIDO)):
         for service in services:
@@ -136,7 +147,7 @@
 
 
 def format_row(results: list[Result], floor: float) -> str:
-    """Return one row of the table."""
+    """Format the results of one group as a row of the table."""
     first = results[0]
     times = [time for result in results for time in result.times_ms]
     has_faulty_targets = first.fault not in FAULTS_WITHOUT_FAULTY_TARGET
@@ -162,7 +173,7 @@
 
 
 def write_report(results: list[Result], seed: int, runs: int, last: str) -> None:
-    """Write the table under docs/measurements."""
+    """Write the page of results under docs/measurements."""
     commit = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True
     ).stdout.strip()
@@ -204,7 +215,7 @@
 
 
 def summarize(results: list[Result]) -> str:
-    """Return the line of key=value pairs that the users asked for."""
+    """Return the key=value pairs that answer the users' goals."""
 
     def select_results(user: str, policy: str) -> list[Result]:
         return [r for r in results if (r.user, r.policy) == (user, policy)]
@@ -237,9 +248,10 @@
 def main(seed: int = 1, runs: int = 8, write: bool = True) -> None:
     """Run all scenarios and print the table and the summary.
 
-    :param seed: seed of the first run; each run has its own.
-    :param runs: runs of each scenario; 30 are wanted and take about 25 minutes.
-    :param write: whether to write the table under docs/measurements.
+    :param seed: determines the seeds of the runs, ``seed * 1_000 + run``.
+    :param runs: runs of each scenario; the goals are stated for 30 runs, which take
+        about 25 minutes.
+    :param write: whether to write the page under docs/measurements.
     """
     jobs = build_jobs(seed, runs)
     results = []
--- a/benchmarks/detection_baselines.py
+++ b/benchmarks/detection_baselines.py
@@ -1,4 +1,4 @@
-"""Two ways of detection to compare with: what most proxies do by default."""
+"""Baseline failure detectors, as most proxies have them by default."""
 
 import random
 from datetime import timedelta
@@ -37,7 +37,7 @@
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
-        """Take one event; other events are ignored."""
+        """Handle one event; other types are ignored."""
         return []
 
     @handle.register
@@ -81,7 +81,7 @@
 
     @singledispatchmethod
     def handle(self, event: Any) -> list[Any]:
-        """Take one event; other events are ignored."""
+        """Handle one event; other types are ignored."""
         return []
 
     @handle.register
--- a/benchmarks/detection_cost.py
+++ b/benchmarks/detection_cost.py
@@ -1,4 +1,4 @@
-"""Measure what evidence costs a daemon: processor time, memory and bytes.
+"""Measure the cost of evidence to a daemon: processor time, memory and bytes.
 
 Run as ``python -m benchmarks.detection_cost --seed=1``. Writes
 ``docs/measurements/detection_cost.md``.
@@ -39,10 +39,10 @@
 
 @attrs.frozen
 class Cost:
-    """Cost at one size.
+    """Cost of evidence for some number of targets and services.
 
-    :param targets: targets asked for, over all services.
-    :param services: services asked for.
+    :param targets: targets that the daemon sends requests to, over all services.
+    :param services: services that it sends requests to.
     :param outcome_us: microseconds for one outcome.
     :param tick_us: microseconds for one tick.
     :param kilobytes: memory of the evidence.
@@ -58,7 +58,7 @@
 def create_controller(
     targets: int, services: int, seed: int
 ) -> tuple[EvidenceController, ManualClock, list[str]]:
-    """Make a controller that knows targets of several services."""
+    """Create an evidence controller that knows targets of several services."""
     names = [f"s{number % services}/10.0.{number}.1:80" for number in range(targets)]
     targets_by_name = {
         name: Target(name, name.partition("/")[0], f"d{number}", f"z{number % 3}")
@@ -80,7 +80,7 @@
 
 
 def build_outcome(name: str, route: int, rng: random.Random) -> RequestOutcome:
-    """Make the outcome of a request that went well."""
+    """Build the outcome of a successful request."""
     service = name.partition("/")[0]
     request = RequestContext(
         "r", service, f"route{route}", "", "GET", "/", True, None, timedelta()
@@ -90,7 +90,7 @@
 
 
 def measure_size(targets: int, services: int, seed: int) -> Cost:
-    """Measure the cost at one size."""
+    """Measure the cost for some number of targets and services."""
     rng = random.Random(seed)
     controller, clock, names = create_controller(targets, services, seed)
     outcomes = [
@@ -118,14 +118,14 @@
 
 
 def measure_bytes(daemons: int, seed: int) -> float:
-    """Return bytes a second that a daemon sends while all targets are healthy."""
+    """Return the bytes per second that a daemon sends if all targets are healthy."""
     scenario = attrs.evolve(ADDIS[0], daemons=daemons, end_s=10.0)
     simulation = Simulation(scenario, seed).run()
     return simulation.bytes_sent / scenario.end_s / daemons
 
 
 def main(seed: int = 1) -> None:
-    """Measure all sizes, print and write the table.
+    """Measure all sizes, and print and write the tables.
 
     :param seed: seed of all random choices.
     """
@@ -137,7 +137,8 @@
         "",
         f"`python -m benchmarks.detection_cost --seed={seed}`, commit {commit}, "
         f"{platform.machine()}, Python {platform.python_version()}; processor time. "
-        f"{ROUTE_COUNT} routes a service; memory of all targets, and of one on one route.",
+        f"{ROUTE_COUNT} routes a service; memory of all targets, and of one on one "
+        "route.",
         "",
         "| targets | services | us an outcome | us a tick | kB | kB a route |",
         "|---|---|---|---|---|---|",
--- a/benchmarks/detection_faults.py
+++ b/benchmarks/detection_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the detection benchmark plants, and how targets behave under them."""
+"""Faults that the detection benchmark injects, and how targets behave under them."""
 
 import enum
 
@@ -12,7 +12,7 @@
 
 
 class Fault(enum.Enum):
-    """Name of a fault, as issue 5 lists them."""
+    """Types of faults in issue 5; the values name them in the results."""
 
     NONE = "none"
     FAILS_WORK = "fails-work"
@@ -58,11 +58,11 @@
 
 @attrs.frozen
 class Behaviour:
-    """How one request fares at a target.
+    """What happens to one request at a target.
 
-    :param failed: whether the backend server answers with an error.
-    :param factor: on the service time.
-    :param lost: whether no answer arrives.
+    :param failed: whether the backend server responds with an error.
+    :param factor: multiplies the service time.
+    :param lost: whether no response arrives.
     """
 
     failed: bool = False
@@ -73,11 +73,12 @@
 def get_fault_behaviour(
     fault: Fault, age_s: float, route: str, draw: float, is_second_target: bool
 ) -> Behaviour:
-    """Return how a request fares at the faulty target.
+    """Return what happens to a request at a faulty target.
 
     :param age_s: seconds since the onset of the fault.
-    :param draw: random number from 0 to 1.
-    :param is_second_target: whether this is the second of two faulty targets.
+    :param draw: random number from 0 to 1 that decides whether the request fails.
+    :param is_second_target: whether this is the second of two faulty targets; it is
+        slow instead.
     """
     if is_second_target:
         return Behaviour(factor=10.0)
--- a/benchmarks/detection_noise.py
+++ b/benchmarks/detection_noise.py
@@ -1,8 +1,8 @@
-"""Count false ejections over long runs in which no target is at fault.
+"""Count false ejections in long simulations without faulty targets.
 
 Run as ``python -m benchmarks.detection_noise --seed=1 --minutes=3``. Simulates the
-larger service of Hokkaido with noise of latencies, pauses and background errors, as
-long as the given wall-clock time allows, and prints one line of key=value pairs.
+larger service of Hokkaido with random latencies, pauses and background errors for the
+given wall-clock time, and prints one line of key=value pairs.
 """
 
 import multiprocessing
@@ -22,9 +22,10 @@
 
 
 def simulate_seed(seed: int) -> tuple[float, int, int, int]:
-    """Run one seed.
+    """Run the simulation with a seed.
 
-    :return: target-hours, false ejections, avoidances by one daemon, floor breaches.
+    :return: target-hours, false ejections, false avoidances by single daemons, and
+        samples below the floor.
     """
     scenario = attrs.evolve(
         HOKKAIDO[0], fault=Fault.NONE, daemons=DAEMON_COUNT, end_s=RUN_S
@@ -40,10 +41,10 @@
 
 
 def main(seed: int = 1, minutes: float = 3.0) -> None:
-    """Run seeds until the time is over.
+    """Simulate seeds until the time has passed, and print the totals.
 
-    :param seed: first seed.
-    :param minutes: wall-clock time after which no more results are awaited.
+    :param seed: determines the seeds, which count up from ``seed * 1_000_000``.
+    :param minutes: wall-clock time after which no more results are collected.
     """
     started = time.monotonic()
     totals = [0.0, 0, 0, 0]
--- a/benchmarks/detection_simulation.py
+++ b/benchmarks/detection_simulation.py
@@ -1,8 +1,8 @@
-"""A small event loop of fake targets around the real controllers of daemons.
+"""Discrete-event simulation of fake targets and the real controllers of daemons.
 
-Time is a :class:`ManualClock`; nothing sleeps and no socket is opened. Routing is
-a fake with two random choices that honours what the controllers write to the
-blackboard, within the floor.
+Time is a :class:`ManualClock`; nothing sleeps and no socket is opened. Routing is a
+fake that chooses the better of two random targets. It avoids the targets that the
+controllers mark on the blackboard, within the floor.
 """
 
 import heapq
@@ -65,17 +65,17 @@
 
 @attrs.frozen
 class Scenario:
-    """What one run simulates.
+    """Parameters of one simulation.
 
-    :param row: row of the service, with floor and the two detection settings.
-    :param zones: availability zones; targets are spread over them in turn.
-    :param zone_delay_s: one-way delay between zones in seconds.
+    :param row: row of the service, with the floor and the two detection settings.
+    :param zones: availability zones; targets and daemons are assigned to them in turn.
+    :param zone_delay_s: one-way network delay between zones in seconds.
     :param targets: number of targets.
-    :param daemons: number of daemons that callers ask.
+    :param daemons: number of daemons that get requests from callers.
     :param rate: requests per second and target.
-    :param fault: what happens at the onset.
-    :param onset_s: when it happens.
-    :param end_s: when the run ends.
+    :param fault: the injected fault.
+    :param onset_s: time in seconds when the fault starts.
+    :param end_s: time in seconds when the simulation ends.
     """
 
     row: ServiceRow
@@ -91,11 +91,12 @@
 
 @attrs.define
 class FakeTarget:
-    """A backend server with slots and a queue.
+    """A backend server with slots, a queue and random pauses of its process.
 
-    :param free_at: times when its slots become free.
-    :param next_pause: when the process pauses next.
-    :param sent: requests sent to it after the onset.
+    :param target: its target.
+    :param free_at: heap of the times when its slots become free.
+    :param next_pause: earliest time of its next pause.
+    :param sent: requests sent to it after the onset of a fault.
     """
 
     target: Target
@@ -104,7 +105,10 @@
     sent: int = 0
 
     def run(self, arrival: float, work_s: float, rng: random.Random) -> tuple:
-        """Run a request and return its start and end, or ``None`` if shed."""
+        """Run a request and return its start and end time.
+
+        :return: ``None`` if its wait in the queue would exceed ``QUEUE_TIMEOUT_S``.
+        """
         if arrival >= self.next_pause:
             pause = rng.uniform(0.02, MAX_PAUSE_S)
             self.free_at = [max(at, arrival + pause) for at in self.free_at]
@@ -119,7 +123,12 @@
 
 @attrs.define(eq=False)
 class FakeDaemon:
-    """One daemon: its blackboard and the controllers under test."""
+    """A daemon with its blackboard and the controllers under test.
+
+    :param candidates: targets that its fake routing chooses from.
+    :param avoided: targets that it does not use, ejected ones included.
+    :param offset: offset up to which it has read the stream of ejections.
+    """
 
     member: Member
     board: Blackboard
@@ -130,11 +139,11 @@
 
 
 class Simulation:
-    """The fleet of one scenario.
+    """The simulated fleet of one scenario and its measurements.
 
     :param scenario: what to simulate.
     :param seed: seed of all random choices.
-    :param policy: builds the controllers of one daemon.
+    :param policy: creates the controllers of one daemon.
     """
 
     def __init__(
@@ -170,7 +179,7 @@
         self.restarted = False
 
     def create_targets(self) -> dict[str, FakeTarget]:
-        """Make the targets of the service."""
+        """Create the targets of the service."""
         targets = {}
         for number in range(self.scenario.targets):
             name = f"{self.scenario.row.service}/10.0.0.{number + 1}:80"
@@ -181,7 +190,7 @@
         return targets
 
     def create_daemons(self, policy: Callable[..., list[Any]]) -> dict[str, FakeDaemon]:
-        """Make the daemons with their controllers."""
+        """Create the daemons with their controllers."""
         service = self.scenario.row.service
         members = {}
         for number in range(self.scenario.daemons):
@@ -204,7 +213,7 @@
         return daemons
 
     def choose_faulty_targets(self) -> list[str]:
-        """Choose the targets that the fault strikes."""
+        """Choose the targets that the fault affects."""
         names = list(self.targets)
         fault = self.scenario.fault
         if fault is Fault.ZONE_SLOW:
@@ -215,17 +224,17 @@
         return self.rng.sample(names, 2 if fault is Fault.TWO else 1)
 
     def get_zone(self, target_id: str) -> str:
-        """Return the zone of a target."""
+        """Return the availability zone of a target."""
         return self.targets[target_id].target.availability_zone
 
     def schedule(self, delay: float, action: Callable[[], None]) -> None:
-        """Run an action later."""
+        """Schedule an action after a delay in seconds."""
         heapq.heappush(
             self.queue, (self.now + delay, next(self.sequence_numbers), action)
         )
 
-    def run(self, stop: Callable[["World"], bool] | None = None) -> "World":
-        """Run to the end of the scenario, or until ``stop`` says so."""
+    def run(self, stop: Callable[["Simulation"], bool] | None = None) -> "Simulation":
+        """Run to the end of the scenario, or until ``stop`` returns True."""
         for daemon in self.daemons.values():
             self.schedule(
                 self.rng.random() * TICK_INTERVAL_S, lambda d=daemon: self.tick(d)
@@ -245,7 +254,7 @@
         return self
 
     def dispatch(self, daemon: FakeDaemon, event: Any) -> None:
-        """Give an event to a daemon's controllers and apply the effects."""
+        """Dispatch an event to a daemon's controllers and apply their effects."""
         for controller in daemon.controllers:
             effects = controller.handle(event)
             for effect in effects:
@@ -254,7 +263,7 @@
                 self.refresh_candidates(daemon)
 
     def apply(self, daemon: FakeDaemon, effect: Any) -> None:
-        """Carry out one effect."""
+        """Apply one effect."""
         if isinstance(effect, SendToPeer):
             self.bytes_sent += len(encode_message(effect.message))
             self.messages_sent += 1
@@ -270,7 +279,10 @@
             self.events.append((self.now, daemon.member.daemon_id, effect))
 
     def probe(self, daemon: FakeDaemon, effect: ProbeTarget) -> None:
-        """Probe a target: it answers well unless a partition is in between."""
+        """Probe a target; probes succeed unless a partition separates them.
+
+        Every other fault only affects real requests.
+        """
         name = effect.target_id
         has_started = self.now >= self.scenario.onset_s
         partitioned = (
@@ -283,7 +295,7 @@
         self.schedule(time_s, lambda: self.dispatch(daemon, event))
 
     def append(self, daemon: FakeDaemon, effect: AppendToLog) -> None:
-        """Append a record if the log is up; the appender reads at once."""
+        """Append a record if the log is available, and read the log at once."""
         if not self.log_available:
             return
         data = encode_message(effect.record)
@@ -291,7 +303,7 @@
         self.read(daemon)
 
     def poll(self, daemon: FakeDaemon) -> None:
-        """Read the stream and go on polling."""
+        """Read the stream and schedule the next poll."""
         self.schedule(
             POLL_INTERVAL_S * self.rng.uniform(0.75, 1.25), lambda: self.poll(daemon)
         )
@@ -311,13 +323,13 @@
         self.refresh_candidates(daemon)
 
     def tick(self, daemon: FakeDaemon) -> None:
-        """Let time pass for one daemon."""
+        """Dispatch a tick to a daemon and schedule the next one."""
         self.schedule(TICK_INTERVAL_S, lambda: self.tick(daemon))
         self.dispatch(daemon, Tick())
         self.refresh_candidates(daemon)
 
     def refresh_candidates(self, daemon: FakeDaemon) -> None:
-        """Work out which targets a daemon picks from, within the floor."""
+        """Update which targets a daemon chooses from, within the floor."""
         board = daemon.board
         weights = dict.fromkeys(self.targets, 1.0)
         health = board.health
@@ -330,7 +342,7 @@
         daemon.candidates = [n for n in self.targets if n not in daemon.avoided]
 
     def handle_arrival(self) -> None:
-        """Take a caller's request at a random daemon."""
+        """Handle a caller's request at a random daemon and schedule the next one."""
         rate = self.scenario.rate * len(self.targets)
         overloaded = self.scenario.fault is Fault.OVERLOAD
         if overloaded and self.now >= self.scenario.onset_s:
@@ -341,13 +353,13 @@
             self.send(daemon, self.choose_target(daemon))
 
     def choose_target(self, daemon: FakeDaemon) -> str:
-        """Choose the better one of two random targets."""
+        """Choose the one of two random targets with the lower cost."""
         first = self.rng.choice(daemon.candidates)
         second = self.rng.choice(daemon.candidates)
         return min(first, second, key=lambda name: self.compute_cost(daemon, name))
 
     def compute_cost(self, daemon: FakeDaemon, name: str) -> float:
-        """Return the cost of picking a target."""
+        """Return the cost of choosing a target, from its load and health."""
         waiting = daemon.board.in_flight.by_target.get(name, 0) + 1
         health = daemon.board.health.get(name)
         if health is None or health.latency is None:
@@ -412,7 +424,7 @@
         )
 
     def choose_loss_blame(self) -> Blame:
-        """Return what an attempt without an answer speaks against."""
+        """Return the blame of an attempt without a response."""
         if self.scenario.fault in PARTITIONS:
             return Blame.PATH
         if self.scenario.fault is Fault.HANGS:
@@ -420,7 +432,7 @@
         return Blame.CONNECTION
 
     def compute_loss_time_s(self) -> float:
-        """Return how long an attempt without an answer takes in seconds."""
+        """Return the time until an attempt without a response fails, in seconds."""
         return (
             HANG_TIMEOUT_S if self.scenario.fault is Fault.HANGS else ATTEMPT_TIMEOUT_S
         )
@@ -437,7 +449,7 @@
     def get_request_behaviour(
         self, daemon: FakeDaemon, name: str, route: str, draw: float
     ) -> Behaviour:
-        """Return how a request of a daemon fares at a target."""
+        """Return what happens to a daemon's request at a target."""
         age = self.now - self.scenario.onset_s
         if age < 0 or name not in self.faulty_targets:
             return Behaviour()
@@ -451,9 +463,9 @@
         )
 
     def is_partitioned(self, daemon: FakeDaemon, name: str) -> bool:
-        """Tell whether a partition cuts a daemon from the faulty target.
+        """Return whether a partition separates a daemon from the faulty target.
 
-        It cuts the daemons of one other zone.
+        It affects the daemons in one other zone.
         """
         zones = self.scenario.zones
         other = zones[(zones.index(self.get_zone(name)) + 1) % len(zones)]
@@ -493,12 +505,12 @@
         self.schedule(latency, lambda: self.handle_outcome(daemon, outcome))
 
     def handle_outcome(self, daemon: FakeDaemon, outcome: RequestOutcome) -> None:
-        """Give an outcome to the daemon that waited for it."""
+        """Dispatch the outcome of a request to the daemon that sent it."""
         daemon.board.in_flight.by_target[outcome.target_id] -= 1
         self.dispatch(daemon, outcome)
 
     def affected_daemons(self, name: str) -> list[FakeDaemon]:
-        """Return the daemons that a faulty target fails."""
+        """Return the daemons whose requests to a faulty target are affected."""
         if self.scenario.fault not in PARTITIONS:
             return list(self.daemons.values())
         return [d for d in self.daemons.values() if self.is_partitioned(d, name)]
@@ -513,7 +525,7 @@
         self.measure_floor()
 
     def measure_detection(self) -> None:
-        """Note when nine in ten of the daemons concerned have avoided a target."""
+        """Record when 90 % of the affected daemons have avoided a faulty target."""
         for name in self.faulty_targets:
             if name in self.detected_at:
                 continue
@@ -526,7 +538,7 @@
                 self.detected_at[name] = self.now - self.scenario.onset_s
 
     def announce_cold_restart(self) -> None:
-        """Announce the restart of a target that starts cold."""
+        """Announce a new incarnation of the target that restarts cold."""
         if self.scenario.fault is not Fault.COLD_START or self.restarted:
             return
         self.restarted = True
@@ -536,13 +548,13 @@
             daemon.board.targets[name] = target
 
     def all_detected(self) -> bool:
-        """Tell whether each sick target was found."""
+        """Return whether all faulty targets were detected."""
         return bool(self.faulty_targets) and len(self.detected_at) == len(
             self.faulty_targets
         )
 
     def healthy(self) -> set[str]:
-        """Return the targets that are not at fault now."""
+        """Return the targets that should not be avoided now."""
         if (
             self.scenario.fault in FAULTS_WITHOUT_FAULTY_TARGET
             or self.now < self.scenario.onset_s
@@ -551,7 +563,11 @@
         return set(self.targets) - set(self.faulty_targets)
 
     def measure_false_ejections(self) -> None:
-        """Count healthy targets taken out for the fleet or by one daemon."""
+        """Count healthy targets that were ejected or avoided.
+
+        A target that more than half of the daemons avoid counts as ejected. During a
+        partition no target is faulty, so that every ejection is false.
+        """
         healthy = self.healthy()
         if self.scenario.fault in PARTITIONS:
             healthy = set(self.targets)
@@ -574,7 +590,11 @@
         self.avoided_pairs_before = pairs
 
     def measure_floor(self) -> None:
-        """Note the lowest weight in service, and whether it broke the floor."""
+        """Record the lowest weight in service and whether it is below the floor.
+
+        The weight is taken in each daemon's view, and without all targets that any
+        daemon considers ejected.
+        """
         weights = dict.fromkeys(self.targets, 1.0)
         union = set().union(*(d.board.ejected for d in self.daemons.values()))
         views = [sum_in_service(weights, d.avoided) for d in self.daemons.values()]
@@ -586,7 +606,7 @@
 def create_controllers(
     settings: DaemonSettings, board: Blackboard, clock: ManualClock, rng: random.Random
 ) -> list[Any]:
-    """Build the controllers under test."""
+    """Create the controllers under test."""
     return [
         EvidenceController(settings, board, clock, rng),
         EjectionController(settings, board, clock, rng),
--- a/benchmarks/detection_users.py
+++ b/benchmarks/detection_users.py
@@ -1,4 +1,4 @@
-"""The services of both users, with the settings shipped for them."""
+"""Simulated services of both users, with the table rows shipped for them."""
 
 import attrs
 
--- a/benchmarks/events.py
+++ b/benchmarks/events.py
@@ -1,7 +1,7 @@
-"""Measure what the ring of events costs a daemon, and merging many rings.
+"""Measure the cost of a daemon's ring buffer of events, and of merging many rings.
 
-``python -m benchmarks.events --seed=1`` records events at one daemon and merges the
-rings of many; it writes ``docs/measurements/events.md``.
+``python -m benchmarks.events --seed=1`` records events at one daemon, merges the rings
+of many, and writes ``docs/measurements/events.md``.
 """
 
 import pathlib
@@ -30,7 +30,7 @@
 
 
 def create_timeline(daemon_id: str, size: int) -> Timeline:
-    """Return the empty ring of one daemon."""
+    """Create the empty event ring of a daemon."""
     settings = DaemonSettings(
         *(daemon_id, "zone", ADDRESS, ADDRESS, ADDRESS, ADDRESS),
         event_ring_size=size,
@@ -40,7 +40,7 @@
 
 
 def fill_timeline(timeline: Timeline, count: int, rng: random.Random) -> None:
-    """Record events such as daemons record most."""
+    """Record events of the most frequent type."""
     for _ in range(count):
         fields = {
             "member": f"contracts-{rng.randrange(1_800)}",
@@ -78,9 +78,9 @@
 
 
 def main(seed: int = 1) -> None:
-    """Measure rings and merges and write the page.
+    """Measure rings and merges and write the page of results.
 
-    :param seed: seed of the events' contents.
+    :param seed: seed of the contents of the events.
     """
     rng = random.Random(seed)
     report = Report("Events", "events", seed)
--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -1,8 +1,9 @@
-"""Measure what a ticket and a plain idempotency key cost a request.
+"""Measure the cost of a ticket and of an idempotency key to a request.
 
-One entry with the real runtime and log client over loopback HTTP to the stand-in of
-the log service, and a forwarder that answers at once; unkeyed requests, tickets and
-plain keys are paired in the same run. ``python -m benchmarks.keys --seed=1``
+One entry uses the real runtime and log client, over loopback HTTP to the fake log
+service, and a fake forwarder that responds at once. Requests without a key, with a
+ticket and with a key are measured in the same run.
+``python -m benchmarks.keys --seed=1``
 """
 
 import asyncio
@@ -42,25 +43,25 @@
 
 
 class NullChannel:
-    """A control channel that nobody listens to."""
+    """A control channel that never receives a message."""
 
     async def start(self, receive: Any) -> None:
-        """Receive nothing."""
+        """Do nothing."""
 
     async def close(self) -> None:
-        """Close nothing."""
+        """Do nothing."""
 
 
 class InstantForwarder:
-    """Answers each attempt at once."""
+    """A forwarder that responds to each attempt at once."""
 
     async def forward(self, *attempt: Any) -> Answer:
-        """Return a small answer."""
+        """Return a small response."""
         return Answer(200, (), yield_body(b"signed"), Verdict.RUN)
 
 
 class CountingLog(HttpLogService):
-    """The real log client; counts appends."""
+    """The real log client with a count of appends."""
 
     appends = 0
 
@@ -72,7 +73,7 @@
 
 @attrs.define
 class EntryFixture:
-    """One entry and what it needs.
+    """An entry with its runtime and log client.
 
     :param entry: the entry.
     :param runtime: its runtime.
@@ -86,7 +87,17 @@
 
 @attrs.frozen
 class Measurement:
-    """Figures of one kind of request at one concurrency and log delay."""
+    """Measured cost of one request type at one concurrency and log delay.
+
+    :param kind: member of ``REQUEST_TYPES``.
+    :param log_delay_ms: delay that the log service adds to each call.
+    :param concurrency: number of concurrent callers.
+    :param requests: number of requests.
+    :param p50_ms: median latency.
+    :param p99_ms: 99th percentile of the latency.
+    :param appends: appends to the log.
+    :param cpu_us: processor time per request in microseconds.
+    """
 
     kind: str
     log_delay_ms: int
@@ -99,7 +110,7 @@
 
 
 async def create_entry_fixture(seed: int, log_address: str) -> EntryFixture:
-    """Wire one entry to the log service."""
+    """Create an entry that uses the log service at an address."""
     settings = DaemonSettings("d1", "z", ADDRESS, ADDRESS, ADDRESS, ADDRESS)
     settings = attrs.evolve(settings, log=LogSettings(address=log_address))
     member = Member("d1", 1, ADDRESS, ADDRESS, "z")
@@ -129,7 +140,10 @@
 
 
 async def send(fixture: EntryFixture, kind: str, number: str) -> float:
-    """Send one request and return its time in milliseconds."""
+    """Send one request and return its latency in milliseconds.
+
+    The time to get a ticket is not included.
+    """
     request_headers = [(headers.SERVICE, SERVICE)]
     if kind == "ticket":
         ticket = await fixture.entry.issue_ticket(SERVICE)
@@ -151,7 +165,7 @@
 async def measure_case(
     fixture: EntryFixture, kind: str, delay_ms: int, concurrency: int, requests: int
 ) -> Measurement:
-    """Send requests of one kind from some callers at once."""
+    """Send requests of one type from concurrent callers and measure them."""
     appends = fixture.log.appends
     cpu = time.process_time()
 
@@ -171,7 +185,7 @@
 
 
 async def measure(seed: int, requests: int) -> list[Measurement]:
-    """Measure all kinds, delays and concurrencies."""
+    """Measure all request types, log delays and concurrencies."""
     measurements = []
     faults, stop, ports = LogFaults(), asyncio.Event(), asyncio.Queue()
     server = asyncio.create_task(serve("127.0.0.1", 0, faults, ports.put_nowait, stop))
@@ -192,7 +206,7 @@
 
 
 def add_measurements(report: Report, measurements: list[Measurement]) -> None:
-    """Add the table of all cells to the page."""
+    """Add the table of all measurements to the report."""
     report.add_text(
         "Entry, runtime, log client and the stand-in of the log service share one "
         "process and one core, so the processor time of a keyed request includes the "
@@ -219,7 +233,7 @@
 def get_measurement(
     measurements: list[Measurement], kind: str, delay_ms: int, concurrency: int
 ) -> Measurement:
-    """Return one cell."""
+    """Return the measurement of one case."""
     requested = (kind, delay_ms, concurrency)
     return next(
         c for c in measurements if (c.kind, c.log_delay_ms, c.concurrency) == requested
@@ -227,9 +241,10 @@
 
 
 def main(seed: int = 1, requests: int = 960) -> None:
-    """Measure, write the table and print the figures.
+    """Measure all cases, write the page of results and print the figures.
 
-    :param requests: requests in each cell.
+    :param seed: seed of the entry.
+    :param requests: requests in each case.
     """
     report = Report("Cost of tickets and idempotency keys", "keys", seed)
     measurements = asyncio.run(measure(seed, requests))
--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -1,8 +1,8 @@
-"""Measure what log lines of requests cost a daemon: processor time and bytes.
+"""Measure the cost of log lines about requests: processor time and bytes.
 
 Run as ``python -m benchmarks.log_cost --seed=1``. Writes
-``docs/measurements/log_cost.md``. The lines are those of a daemon that is entry and
-gate for as many requests, of which one in twenty fails and is sent again.
+``docs/measurements/log_cost.md``. The lines are those of a daemon that is the entry of
+some requests and the gate of equally many; one in twenty fails and is retried.
 """
 
 import logging
@@ -27,13 +27,13 @@
 
 @attrs.define
 class Cost:
-    """What the lines of one rate cost.
+    """Cost of the log lines at one rate of requests.
 
-    :param rate: requests a second.
-    :param cpu: share of a core.
-    :param bytes_per_s: bytes written a second.
-    :param lines_per_s: lines written a second.
-    :param omitted: lines of requests that went well and were not written.
+    :param rate: requests per second.
+    :param cpu: fraction of a core.
+    :param bytes_per_s: bytes written per second.
+    :param lines_per_s: lines written per second.
+    :param omitted: lines about successful requests that were not written.
     """
 
     rate: int
@@ -44,7 +44,7 @@
 
 
 class CountingHandler(BoundedHandler):
-    """Count what is written, to a descriptor that takes everything."""
+    """A log handler that counts the lines that it writes and omits."""
 
     def __init__(self, fd: int) -> None:
         self.now_s = 0.0
@@ -54,20 +54,20 @@
         super().__init__(fd, lambda: self.now_s)
 
     def take_routine(self) -> bool:
-        """Count a routine line that is left out."""
+        """Return whether a routine line may be written; count it if not."""
         is_written = super().take_routine()
         self.omitted += not is_written
         return is_written
 
     def write(self, line: str) -> bool:
-        """Count a line."""
+        """Write and count a line."""
         self.lines += 1
         self.bytes += len(line) + 1
         return super().write(line)
 
 
 def log_request(request_id: str, failed: bool) -> None:
-    """Log what an entry and a gate do for one request."""
+    """Log the lines of an entry and of a gate about one request."""
     log_event(
         LOGGER,
         "work-ended",
@@ -111,7 +111,7 @@
 
 
 def measure_rate(rate: int, seed: int) -> Cost:
-    """Log some time of requests at a rate."""
+    """Log ``DURATION_S`` seconds of requests at a rate, in simulated time."""
     rng = random.Random(seed)
     fd = os.open(os.devnull, os.O_WRONLY)
     handler = CountingHandler(fd)
@@ -135,7 +135,7 @@
 
 
 def main(seed: int = 1) -> None:
-    """Measure all rates and write the page."""
+    """Measure all rates and write the page of results."""
     configure_logging("INFO")
     report = Report("What the log lines of requests cost", "log_cost", seed)
     costs = [measure_rate(rate, seed) for rate in REQUEST_RATES]
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""Pages of measurements: machine, seed, commit, tables and the last line."""
+"""Write Markdown pages of measurements, with machine, seed and commit."""
 
 import datetime
 import os
@@ -25,7 +25,7 @@
 
 
 def describe_machine() -> str:
-    """Return processor count, memory and Python version of this machine."""
+    """Return processors, memory, Python version and load of this machine."""
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 2**30
     return (
         f"{os.cpu_count()} cores, {memory:.0f} GiB, {platform.machine()}, "
@@ -34,7 +34,7 @@
 
 
 def read_commit() -> str:
-    """Return the short name of the commit, marked if files differ from it."""
+    """Return the abbreviated commit, marked as dirty if files differ from it."""
     command = ["git", "describe", "--always", "--dirty", "--abbrev=10"]
     completed = subprocess.run(command, capture_output=True, text=True, check=False)
     return completed.stdout.strip() or "unknown"
@@ -47,9 +47,9 @@
     :param title: heading of the page.
     :param name: name of the module under ``benchmarks``.
     :param seed: seed of the run.
-    :param blocks: paragraphs and tables so far.
-    :param commit: the commit when the run began.
-    :param machine: the machine, with its load when the run began.
+    :param blocks: paragraphs and tables added so far.
+    :param commit: the commit at the start of the run.
+    :param machine: description of the machine, with its load at the start of the run.
     """
 
     title: str
@@ -70,7 +70,7 @@
         self.blocks.append("\n".join(lines))
 
     def write(self, path: pathlib.Path, last_line: str) -> None:
-        """Write the page."""
+        """Write the page to a file, with a summary as its last line."""
         today = datetime.datetime.now(datetime.UTC).date()
         head = (
             f"# {self.title}\n\n`python -m benchmarks.{self.name} --seed={self.seed}` "
--- a/benchmarks/requests.py
+++ b/benchmarks/requests.py
@@ -1,8 +1,8 @@
-"""Measure the request path against plain round robin, paired in one run.
+"""Compare the request path with plain round robin under the same load.
 
-``python -m benchmarks.requests --seed=1`` starts real daemons, backend server
-stand-ins and round-robin proxies on loopback, gives both systems the same arrivals,
-and writes ``docs/measurements/requests.md``.
+``python -m benchmarks.requests --seed=1`` starts real daemons, fake backend servers and
+round-robin proxies on loopback, sends the same arrivals to both systems, and writes
+``docs/measurements/requests.md``.
 """
 
 import asyncio
@@ -40,14 +40,14 @@
 
 
 def compute_quantile(values: list[float], fraction: float) -> float:
-    """Return a quantile by the nearest rank; 0 if there is no value."""
+    """Return a quantile by nearest rank; 0 without values."""
     if not values:
         return 0.0
     return sorted(values)[min(len(values) - 1, int(fraction * len(values)))]
 
 
 def build_specs(name: str, addresses: list[str], plan: "CellPlan") -> list[LoadSpec]:
-    """Divide the load of a cell between processes of callers."""
+    """Build the load specifications of a cell, one for each caller process."""
     return [
         LoadSpec(
             name=f"{name}-{part}",
@@ -66,11 +66,11 @@
 
 @attrs.frozen
 class CellPlan:
-    """What both systems are given in turn.
+    """Load of one cell of the results; both systems get it one after the other.
 
     :param load: offered load as a multiple of the capacity.
     :param straggler: whether one backend server is slow.
-    :param work_ms: mean time of a request at its backend server.
+    :param work_ms: mean service time of a request at its backend server.
     :param seconds: how long requests are sent.
     :param seed: seed of arrivals and work.
     """
@@ -83,12 +83,12 @@
 
     @property
     def capacity(self) -> float:
-        """Return requests a second that all slots together can run."""
+        """Return the requests per second that all slots together can run."""
         return FLEET_SIZE * SLOTS / (self.work_ms / 1_000)
 
     @property
     def warmup_s(self) -> float:
-        """Return the time at the start that is not counted."""
+        """Return the time at the start that is not measured."""
         return self.seconds * WARMUP_FRACTION
 
 
@@ -109,7 +109,7 @@
 
 
 def summarize_cell(system: str, plan: CellPlan, outcomes: list[Outcome]) -> Cell:
-    """Reduce outcomes to one row of the table."""
+    """Summarize the outcomes of a system in one row of the table."""
     measured = [outcome for outcome in outcomes if outcome.measured]
     good = [o for o in measured if o.status == 200 and not o.wrong]
     in_time = [
@@ -117,7 +117,7 @@
         for o in outcomes
         if o.status == 200 and not o.wrong and plan.warmup_s <= o.ended_s < plan.seconds
     ]
-    # A refusal is quick; counting its time would flatter a system that refuses.
+    # Refusals are fast; counting their latency would favour a system that refuses more.
     times = [o.latency_ms for o in measured if o.status != SHED_STATUS]
     return Cell(
         system=system,
@@ -134,7 +134,10 @@
 async def measure_cells(
     fleet: Fleet, plans: list[CellPlan]
 ) -> tuple[list[Cell], list[Outcome]]:
-    """Give each cell to both systems in turn."""
+    """Run each cell with both systems.
+
+    :return: all cells, and the outcomes of wagtailstep only.
+    """
     systems = {"wagtailstep": fleet.entries, "round-robin": fleet.proxies}
     cells = []
     fleet_outcomes = []
@@ -152,7 +155,7 @@
 
 
 async def count_violations(fleet: Fleet, outcomes: list[Outcome]) -> CorrectnessCounts:
-    """Compare what callers were told with what the backend servers counted."""
+    """Count violations, by comparing outcomes with the backend servers' counts."""
     starts = await fleet.count_starts()
     correctness = CorrectnessCounts()
     for outcome in outcomes:
@@ -166,10 +169,10 @@
 async def measure_path_cost(
     folder: pathlib.Path, seed: int, seconds: float
 ) -> PathCost:
-    """Measure added time at the design's rate, then processor time a request.
+    """Measure added latency at the design rate, then processor time per request.
 
-    Two daemons; only the first one has a backend server, so each request of the
-    second one's callers takes both an entry and another daemon's gate.
+    There are two daemons and only the first has a backend server, so each request to
+    the second daemon passes its entry and the first daemon's gate.
     """
     fleet = Fleet(folder, 2, seed, backends=1)
     try:
@@ -223,7 +226,7 @@
 
 
 async def measure(seed: int, seconds: float) -> None:
-    """Run all measurements."""
+    """Run all measurements, write the report and print the figures."""
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
         path_cost = await measure_path_cost(folder, seed, seconds)
@@ -244,8 +247,8 @@
 def main(seed: int = 1, seconds: float = 10.0) -> None:
     """Measure and report.
 
-    :param seed: seed of arrivals, work and daemons.
-    :param seconds: length of each cell.
+    :param seed: seed of arrivals, service times and daemons.
+    :param seconds: duration of each cell.
     """
     asyncio.run(measure(seed, seconds))
 
--- a/benchmarks/requests_fleet.py
+++ b/benchmarks/requests_fleet.py
@@ -1,4 +1,4 @@
-"""Processes of the request benchmark: one service, its daemons, and the baseline."""
+"""Run the processes of the request benchmark: daemons, fakes and baseline proxies."""
 
 import asyncio
 import json
@@ -40,27 +40,27 @@
     """A process that this benchmark started.
 
     :param process: the process.
-    :param name: what it is, for the report.
+    :param name: its role; for a daemon its identifier.
     """
 
     process: asyncio.subprocess.Process
     name: str
 
     def cpu_s(self) -> float:
-        """Return the processor time that it has used, in seconds."""
+        """Return the processor time that the process has used, in seconds."""
         text = pathlib.Path(f"/proc/{self.process.pid}/stat").read_text()
         fields = text.rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     def peak_memory_mb(self) -> float:
-        """Return the most resident memory that it had, in MB."""
+        """Return the peak resident memory of the process in MB."""
         text = pathlib.Path(f"/proc/{self.process.pid}/status").read_text()
         (line,) = [line for line in text.splitlines() if line.startswith("VmHWM")]
         return int(line.split()[1]) / 1024
 
 
 class Fleet:
-    """Daemons and backend servers of one service, on free loopback ports.
+    """Daemons and fake backend servers of one service, on free loopback ports.
 
     :param folder: where settings and results are written.
     :param size: number of instances.
@@ -102,7 +102,7 @@
         return [settings.caller_address for settings in self.daemons]
 
     async def start(self) -> None:
-        """Start all processes and wait until every entry answers."""
+        """Start all processes and wait until all entries and proxies respond."""
         await self.start_program(
             "log", "wagtailstep.cli.fakes", "log", f"--address={self.log_address}"
         )
@@ -122,7 +122,7 @@
             await self.wait_until_ready(address)
 
     async def start_backends(self, first: int) -> None:
-        """Start one process with some of the backend servers."""
+        """Start one process with the next ``BACKENDS_PER_PROCESS`` backend servers."""
         last = min(first + BACKENDS_PER_PROCESS, len(self.backends))
         servers = [
             BackendServerSettings(
@@ -140,7 +140,10 @@
         )
 
     async def import_table(self) -> None:
-        """Publish a table with a floor of two thirds of the backend servers."""
+        """Import a table whose floor is two thirds of the backend servers.
+
+        :raises RuntimeError: if the table is not accepted in 20 attempts.
+        """
         count = len(self.backends)
         path = self.folder / "table.csv"
         path.write_text(
@@ -161,18 +164,24 @@
         raise RuntimeError(f"the table was not accepted: exit code {code}")
 
     async def wait_until_ready(self, address: str) -> None:
-        """Ask until an address answers a request with 200."""
+        """Wait until an address responds to a request with status 200.
+
+        :raises RuntimeError: if it does not.
+        """
         for _ in range(100):
             status, _ = await self.send_request(address, "GET", "/lookup/ready")
             if status == 200:
                 return
             await asyncio.sleep(0.2)
-        raise RuntimeError(f"{address} answers no request: last status {status}")
+        raise RuntimeError(f"{address} is not ready: last status {status}")
 
     async def send_request(
         self, address: str, method: str, path: str, body: bytes = b""
     ) -> tuple[int, bytes]:
-        """Send one request; return its status, or 0, and the answer's body."""
+        """Send one request and return the status and body of the response.
+
+        The status is 0 if the request fails.
+        """
         request = HttpRequest(
             address=address,
             method=method,
@@ -193,13 +202,13 @@
         return answer.status, data
 
     async def set_faults(self, index: int, faults: Faults) -> None:
-        """Give faults to one backend server."""
+        """Set the faults of one backend server."""
         body = msgspec.json.encode(faults)
         status, _ = await self.send_request(
             self.backends[index], "PUT", "/faults", body
         )
         if status != 200:
-            raise RuntimeError(f"faults were refused with status {status}")
+            raise RuntimeError(f"backend server refused faults with status {status}")
 
     async def count_starts(self) -> dict[str, int]:
         """Return how often each request was started, over all backend servers."""
@@ -211,11 +220,11 @@
         return total
 
     async def run_load(self, *specs: LoadSpec) -> list[Outcome]:
-        """Run callers in processes of their own and return all outcomes."""
+        """Run concurrent caller processes and return all outcomes."""
         return sum(await asyncio.gather(*map(self.run_callers, specs)), [])
 
     async def run_callers(self, spec: LoadSpec) -> list[Outcome]:
-        """Run one process of callers to its end."""
+        """Run one process of callers and return its outcomes."""
         path = self.write(f"{spec.name}.spec.json", attrs.asdict(spec))
         result = self.folder / f"{spec.name}.result.json"
         program = await self.start_program(
@@ -224,11 +233,11 @@
         code = await program.process.wait()
         self.programs.remove(program)
         if code:
-            raise RuntimeError(f"callers of {spec.name} failed")
+            raise RuntimeError(f"callers of {spec.name} failed with exit code {code}")
         return msgspec.json.decode(result.read_bytes(), type=list[Outcome])
 
     async def start_program(self, name: str, module: str, *arguments: str) -> Program:
-        """Start a module as a process."""
+        """Start a Python module as a process; its output goes to a log file."""
         with (self.folder / f"{name}.log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
                 *(sys.executable, "-m", module, *arguments), stdout=log, stderr=log
@@ -244,7 +253,7 @@
         return path
 
     async def stop(self) -> None:
-        """End all processes that were started, each by its own identifier."""
+        """Terminate all processes that were started; kill those that don't exit."""
         self.client.close()
         for program in reversed(self.programs):
             if program.process.returncode is None:
--- a/benchmarks/requests_load.py
+++ b/benchmarks/requests_load.py
@@ -1,8 +1,8 @@
-"""Callers of the request benchmark, as a process of its own.
+"""Callers of the request benchmark, run as a process of their own.
 
 ``python -m benchmarks.requests_load SPEC RESULT`` reads a :class:`LoadSpec` as JSON,
-sends its requests to loopback, and writes a :class:`LoadResult`. Arrivals are drawn
-from the seed, so two systems can be given the same ones.
+sends its requests, and writes a JSON list of :class:`Outcome`. Arrivals depend only on
+the seed, so that two systems can get the same ones.
 """
 
 import asyncio
@@ -30,19 +30,20 @@
 
 @attrs.frozen
 class LoadSpec:
-    """What one process of callers does.
+    """Load that one process of callers generates.
 
     :param name: prefix of all request keys.
     :param groups: groups of addresses, ``host:port`` each; requests go to the groups in
-        turns, and to a random address of the group.
-    :param rate: requests a second over all groups; 0 keeps ``concurrency`` requests
-        under way all the time.
-    :param concurrency: callers that send one request after another, if rate is 0.
+        turn, and to a random address of the group.
+    :param rate: requests per second over all groups (open loop); 0 for a closed loop of
+        ``concurrency`` callers.
+    :param concurrency: number of callers of a closed loop, each with one request in
+        flight.
     :param seconds: how long requests are sent.
-    :param warmup_s: requests sent before this time are not measured.
-    :param work_ms: mean time of a request at its backend server.
-    :param timeout_ms: time allowed to each request.
-    :param seed: seed of arrivals, work and choice of address.
+    :param warmup_s: requests due before this time are not measured.
+    :param work_ms: mean service time of a request at its backend server.
+    :param timeout_ms: deadline of each request.
+    :param seed: seed of arrivals, service times and choices of address.
     """
 
     name: str
@@ -58,18 +59,18 @@
 
 @attrs.define
 class Outcome:
-    """How one request ended, as its caller saw it.
+    """Outcome of one request, as its caller saw it.
 
     :param key: key of the request.
     :param group: index of the group of addresses.
     :param idempotent: whether it was sent as idempotent.
-    :param status: HTTP status, or 0 if there was no whole answer.
-    :param verdict: verdict in the answer, or an empty string.
-    :param reason: reason of a failure, of a daemon's or of the caller's own client.
-    :param latency_ms: from the time it was due to its end.
-    :param wrong: whether the answer was another request's.
+    :param status: HTTP status; 0 without a complete response.
+    :param verdict: verdict in the response; empty without one.
+    :param reason: reason of a failure, from a daemon or from the caller's client.
+    :param latency_ms: time from when the request was due until it ended.
+    :param wrong: whether the response belongs to another request.
     :param measured: whether it was due after the warm-up.
-    :param ended_s: when it ended, from the start of the load.
+    :param ended_s: when it ended, in seconds from the start of the load.
     """
 
     key: str
@@ -96,7 +97,7 @@
         self.number = 0
 
     async def run(self) -> list[Outcome]:
-        """Send all requests and return how they ended."""
+        """Send all requests and return their outcomes."""
         self.started = asyncio.get_running_loop().time()
         if self.spec.rate:
             await self.run_open_loop()
@@ -109,7 +110,10 @@
         return self.outcomes
 
     async def run_open_loop(self) -> None:
-        """Send at random times, whatever is still under way."""
+        """Send requests with Poisson arrivals, regardless of those in flight.
+
+        Above ``MAX_IN_FLIGHT`` requests are dropped.
+        """
         loop = asyncio.get_running_loop()
         due = self.started
         while due - self.started < self.spec.seconds:
@@ -129,7 +133,7 @@
             await self.send(request, outcome, loop.time())
 
     def build_request(self) -> tuple[HttpRequest, Outcome]:
-        """Draw the next request; the draws don't depend on earlier answers."""
+        """Build the next random request, independent of earlier responses."""
         spec = self.spec
         group = self.number % len(spec.groups)
         self.number += 1
@@ -157,7 +161,7 @@
         return request, Outcome(key, group, idempotent)
 
     async def send(self, request: HttpRequest, outcome: Outcome, due: float) -> None:
-        """Send one request and note how it ended."""
+        """Send one request and record its outcome."""
         loop = asyncio.get_running_loop()
         try:
             answer = await self.client.send(request)
@@ -177,12 +181,12 @@
 
 
 async def yield_body() -> AsyncIterator[bytes]:
-    """Yield the small body of an unrepeatable request."""
+    """Yield the small body of a non-idempotent request."""
     yield b"{}"
 
 
 def main(spec_path: str, result_path: str) -> None:
-    """Run one specification."""
+    """Run one specification and write the outcomes."""
     spec = msgspec.json.decode(pathlib.Path(spec_path).read_bytes(), type=LoadSpec)
     outcomes = asyncio.run(Load(spec).run())
     pathlib.Path(result_path).write_bytes(msgspec.json.encode(outcomes))
--- a/benchmarks/requests_report.py
+++ b/benchmarks/requests_report.py
@@ -28,17 +28,17 @@
 
 @attrs.define
 class Cell:
-    """One system at one load.
+    """Results of one system at one load.
 
     :param system: name of the system.
     :param load: offered load as a multiple of the capacity.
     :param straggler: whether one backend server was slow.
-    :param work_ms: mean time of a request at its backend server.
-    :param goodput: whole own answers a second, by the time when they were whole.
-    :param p50_ms: median time of all requests that were not refused as overload; a
-        failed one counts as it took.
-    :param p99_ms: 99th percentile of the same.
-    :param refused: share of requests that were refused or failed.
+    :param work_ms: mean service time of a request at its backend server.
+    :param goodput: correct and complete responses per second, by completion time.
+    :param p50_ms: median latency of requests that were not refused because of overload;
+        failed requests are included.
+    :param p99_ms: 99th percentile of the same latencies.
+    :param refused: fraction of requests that were refused or failed.
     """
 
     system: str
@@ -53,11 +53,11 @@
 
 @attrs.define
 class CorrectnessCounts:
-    """What must be zero.
+    """Counts of violated guarantees; all must be zero.
 
-    :param doubled: unrepeatable requests that were started more than once.
-    :param false_not_run: requests told as not run that were started.
-    :param wrong_answers: answers of another request.
+    :param doubled: non-idempotent requests that were started more than once.
+    :param false_not_run: requests with the verdict "not run" that were started.
+    :param wrong_answers: responses that belong to another request.
     """
 
     doubled: int = 0
@@ -67,15 +67,15 @@
 
 @attrs.define
 class PathCost:
-    """What the path costs.
-
-    :param added_ms_p50: added milliseconds, difference of the medians.
-    :param added_ms_p99: added milliseconds, difference of the 99th percentiles.
-    :param direct_p50_ms: median of the direct calls.
-    :param direct_p99_ms: 99th percentile of the direct calls.
-    :param entry_cpu_ms: processor time of the entry for one request.
-    :param gate_cpu_ms: processor time of the gate for one request.
-    :param saturated_rate: requests a second that one entry served.
+    """Cost of the path through an entry and a gate.
+
+    :param added_ms_p50: median latency minus that of direct requests.
+    :param added_ms_p99: 99th percentile of the latency minus that of direct requests.
+    :param direct_p50_ms: median latency of direct requests.
+    :param direct_p99_ms: 99th percentile of the latency of direct requests.
+    :param entry_cpu_ms: processor time of the entry per request.
+    :param gate_cpu_ms: processor time of the gate per request.
+    :param saturated_rate: requests per second that one entry served at saturation.
     """
 
     added_ms_p50: float
@@ -88,23 +88,23 @@
 
     @property
     def rate_per_core(self) -> float:
-        """Return requests a second for which entry and gate use one core."""
+        """Return the requests per second for which entry and gate use one core."""
         return 1_000 / (self.entry_cpu_ms + self.gate_cpu_ms)
 
 
 def get_cell(
     cells: list[Cell], system: str, load: float, work_ms: float = WORK_MS
 ) -> Cell:
-    """Return the row of one system at one load.
+    """Return the first cell of one system at one load.
 
-    :param work_ms: the work of the cell; rows without a straggler come first.
+    :param work_ms: service time of the cell. Cells without a straggler come first.
     """
     key = (system, load, work_ms)
     return next(c for c in cells if (c.system, c.load, c.work_ms) == key)
 
 
 def compare_straggler(cells: list[Cell]) -> float:
-    """Return the 99th percentile with a straggler against round robin's."""
+    """Return the 99th percentile with a straggler, relative to round robin."""
     wagtailstep_value, round_robin_value = (
         get_cell(cells, system, STRAGGLER_LOAD, STRAGGLER_WORK_MS).p99_ms
         for system in ("wagtailstep", "round-robin")
@@ -113,7 +113,7 @@
 
 
 def compare_goodput(cells: list[Cell], load: float) -> float:
-    """Return the goodput without a straggler against round robin's."""
+    """Return the goodput without a straggler, relative to round robin."""
     wagtailstep_value, round_robin_value = (
         get_cell(cells, system, load).goodput
         for system in ("wagtailstep", "round-robin")
@@ -124,7 +124,7 @@
 def compare(
     cells: list[Cell], path_cost: PathCost, correctness: CorrectnessCounts
 ) -> dict[str, float]:
-    """Return the figures of the last line."""
+    """Return the figures of the summary line."""
     return {
         "goodput_ratio_0_9x": round(compare_goodput(cells, 0.9), 3),
         "goodput_ratio_3x": round(compare_goodput(cells, 3.0), 3),
@@ -139,7 +139,7 @@
 
 
 def describe_goals(cells: list[Cell], path_cost: PathCost) -> list[str]:
-    """Compare the figures with the stated targets."""
+    """Return table rows that compare the figures with the stated goals."""
     goodput_ratio = (
         get_cell(cells, "wagtailstep", 3.0).goodput
         / get_cell(cells, "wagtailstep", 0.9).goodput
@@ -151,13 +151,14 @@
         ("added p99 in ms", path_cost.added_ms_p99, "<=", ADDED_P99_TARGET_MS),
     ]
     return [
-        f"| {name} | {value:.2f} | {sign} {bound} | {describe_verdict(value, sign, bound)} |"
+        f"| {name} | {value:.2f} | {sign} {bound} | "
+        f"{describe_verdict(value, sign, bound)} |"
         for name, value, sign, bound in rows
     ]
 
 
 def describe_verdict(value: float, sign: str, bound: float) -> str:
-    """Say whether a target is met."""
+    """Return "met" or "missed" for a measured value and its bound."""
     is_met = value >= bound if sign == ">=" else value <= bound
     return "met" if is_met else "missed"
 
@@ -165,7 +166,7 @@
 def write_report(
     cells: list[Cell], path_cost: PathCost, line: str, seed: int, seconds: float
 ) -> None:
-    """Write the tables with machine, seed and commit."""
+    """Write the page of results with machine, seed and commit."""
     commit = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True
     ).stdout.strip()
@@ -204,12 +205,14 @@
         "",
         f"Price of the path at {DESIGN_RATE:g} requests a second at one daemon, "
         f"paired with direct calls (work {ADDED_WORK_MS:g} ms): direct p50 "
-        f"{path_cost.direct_p50_ms:.2f} ms, p99 {path_cost.direct_p99_ms:.2f} ms; added p50 "
-        f"{path_cost.added_ms_p50:.2f} ms, p99 {path_cost.added_ms_p99:.2f} ms.",
+        f"{path_cost.direct_p50_ms:.2f} ms, p99 {path_cost.direct_p99_ms:.2f} ms; "
+        f"added p50 {path_cost.added_ms_p50:.2f} ms, p99 "
+        f"{path_cost.added_ms_p99:.2f} ms.",
         "",
         f"Processor time for one request: entry {path_cost.entry_cpu_ms:.2f} ms, gate "
         f"{path_cost.gate_cpu_ms:.2f} ms, control included. One entry with "
-        f"{SATURATING_CALLERS} callers at once: {path_cost.saturated_rate:.0f} requests/s.",
+        f"{SATURATING_CALLERS} callers at once: {path_cost.saturated_rate:.0f} "
+        "requests/s.",
         "",
         f"    {line}",
     ]
--- a/benchmarks/round_robin.py
+++ b/benchmarks/round_robin.py
@@ -1,7 +1,7 @@
-"""The baseline of the request benchmark: a plain round-robin proxy.
+"""A plain round-robin proxy, the baseline of the request benchmark.
 
-It passes each request to the next backend server, whatever that one's state, and
-answers a failure with status 502. It has no gate, no limits and no retries.
+It forwards each request to the next backend server, regardless of its health, and
+responds to a failure with status 502. It has no gate, no limits and no retries.
 ``python -m benchmarks.round_robin ADDRESS TARGET...``
 """
 
@@ -24,7 +24,7 @@
 
 
 class RoundRobinProxy:
-    """Pass requests to the targets in turns.
+    """Forward requests to the targets in turn.
 
     :param targets: ``host:port`` of the backend servers.
     """
@@ -34,7 +34,7 @@
         self.client = HttpClient(RequestSettings(), LoopClock())
 
     async def handle(self, incoming: IncomingRequest) -> Answer:
-        """Pass on one request."""
+        """Forward one request."""
         time_left_ms = find_header(incoming.headers, TIMEOUT_MS) or DEFAULT_TIMEOUT_MS
         request = HttpRequest(
             address=next(self.targets),
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -1,8 +1,7 @@
-"""Measure the memory of daemons that carry large bodies.
+"""Measure the memory of daemons that forward large bodies.
 
-A 1 GiB upload and a slow reader of a large answer cross an entry and another
-daemon's gate. ``python -m benchmarks.streams --seed=1`` writes
-``docs/measurements/streams.md``.
+A 1 GiB upload and a large response to a slow reader pass an entry and another daemon's
+gate. ``python -m benchmarks.streams --seed=1`` writes ``docs/measurements/streams.md``.
 """
 
 import asyncio
@@ -38,10 +37,10 @@
 class Step:
     """Peak memory of both daemons after one step.
 
-    :param name: what was done.
-    :param entry_mb: most resident memory of the entry's daemon so far.
-    :param gate_mb: most resident memory of the gate's daemon so far.
-    :param seconds: how long the step took.
+    :param name: name of the step.
+    :param entry_mb: peak resident memory of the entry's daemon so far.
+    :param gate_mb: peak resident memory of the gate's daemon so far.
+    :param seconds: duration of the step.
     """
 
     name: str
@@ -51,7 +50,7 @@
 
 
 async def generate_upload(digest: xxhash.xxh64) -> AsyncIterator[bytes]:
-    """Yield the upload; each chunk differs from the one before."""
+    """Yield the chunks of the upload, each with different content."""
     for number in range(UPLOAD_MIB * 16):
         chunk = number.to_bytes(8, "big") * (MIB // 16 // 8)
         digest.update(chunk)
@@ -61,7 +60,7 @@
 def build_request(
     address: str, *headers: tuple[str, str], **changes: Any
 ) -> HttpRequest:
-    """Return a request that is given enough time."""
+    """Build a request with a deadline that is long enough for large bodies."""
     arguments = {
         "address": address,
         "method": "GET",
@@ -77,9 +76,9 @@
 
 
 async def upload(fleet: Fleet, address: str) -> None:
-    """Send the upload and compare what arrived.
+    """Send the upload and compare its digest with the backend server's.
 
-    :raises RuntimeError: if it did not arrive whole.
+    :raises RuntimeError: if it did not arrive unchanged.
     """
     digest = xxhash.xxh64()
     request = build_request(
@@ -95,13 +94,13 @@
         pass
     headers = dict(answer.headers)
     if headers.get("fake-body-digest") != digest.hexdigest():
-        raise RuntimeError(f"the upload did not arrive whole: {headers}")
+        raise RuntimeError(f"upload arrived incomplete or changed: {headers}")
 
 
 async def read_slowly(fleet: Fleet, address: str) -> None:
-    """Read a large answer, slowly at first.
+    """Read a large response, the first chunks slowly.
 
-    :raises RuntimeError: if it did not arrive whole.
+    :raises RuntimeError: if it is incomplete.
     """
     size = ANSWER_MIB * MIB
     request = build_request(address, ("fake-answer-bytes", str(size)))
@@ -114,11 +113,11 @@
         if reads < SLOW_READS:
             await asyncio.sleep(SLOW_READ_PAUSE_S)
     if received < size:
-        raise RuntimeError(f"only {received} of {size} bytes arrived")
+        raise RuntimeError(f"response truncated: got {received} of {size} bytes")
 
 
 async def measure(seed: int) -> list[Step]:
-    """Run both streams and return the peak memory after each."""
+    """Run the upload and the slow read; return the peak memory after each step."""
     loop = asyncio.get_running_loop()
     steps = []
     with tempfile.TemporaryDirectory() as name:
--- a/benchmarks/table.py
+++ b/benchmarks/table.py
@@ -1,7 +1,7 @@
-"""Measure how fast accepted edits are in force, and what the table costs.
+"""Measure the time until accepted table edits are in force, and their cost.
 
-Table controllers of whole fleets run in virtual time over a network with losses;
-loading and memory at the design size are measured in real time.
+Table controllers of whole fleets run in virtual time over a lossy network. Loading and
+memory at the design size are measured in real time.
 ``python -m benchmarks.table --seed=1``
 """
 
@@ -45,15 +45,21 @@
 class FleetFigures:
     """Figures of one fleet.
 
-    :param scenario: what happened to the log.
-    :param edits: edits appended, copies of the same edit not counted.
-    :param in_force_ms: time from acceptance to in force, for each edit and daemon.
-    :param idle_bytes_s: bytes a daemon sends in a second without edits.
-    :param edit_bytes: bytes a daemon sends more for each accepted edit.
-    :param idle_cpu: share of a core for the controller without edits.
-    :param edit_cpu_us: processor time a daemon spends more for each accepted edit.
+    :param scenario: which daemons read the log and how often.
+    :param size: number of daemons.
+    :param edits: distinct edits that were appended.
+    :param accepted: edits that were accepted.
+    :param in_force_ms: sorted times from acceptance until in force, for each edit and
+        daemon.
+    :param reverted: number of times that a daemon went back to an older version.
+    :param lost: pairs of an accepted edit and a daemon where it never got in force.
+    :param applied_twice: versions beyond the accepted ones, summed over daemons.
+    :param idle_bytes_s: bytes per second that a daemon sends without edits.
+    :param edit_bytes: additional bytes that a daemon sends per accepted edit.
+    :param idle_cpu: fraction of a core that the controller uses without edits.
+    :param edit_cpu_us: additional processor time of a daemon per accepted edit.
     :param reads_per_s: reads of the log by the whole fleet.
-    :param appends_per_s: appends of the operators and the whole fleet.
+    :param appends_per_s: appends to the log by operators and the whole fleet.
     """
 
     scenario: str
@@ -72,13 +78,13 @@
     appends_per_s: float
 
     def quantile_ms(self, fraction: float) -> float:
-        """Return a quantile of the times from acceptance to in force."""
+        """Return a quantile of the times from acceptance until in force."""
         last = len(self.in_force_ms) - 1
         return self.in_force_ms[round(last * fraction)]
 
 
 def start_idle_fleet(seed: int, size: int, poll_ms: int) -> TableFleet:
-    """Return a fleet whose daemons all have the empty table."""
+    """Start a fleet and run it until its daemons have the empty table."""
     fleet = TableFleet(seed, size, LogSettings(poll_ms=poll_ms))
     fleet.network.max_latency_ms = MAX_LATENCY_MS
     fleet.network.drop = DROP_FRACTION
@@ -87,13 +93,16 @@
 
 
 def restrict_reads_to_one_daemon(fleet: TableFleet) -> None:
-    """Cut all daemons but one off from reading the log."""
+    """Make the log unreadable for all daemons but one."""
     for daemon in list(fleet.daemons.values())[1:]:
         daemon.reads_log = False
 
 
 def append_edits(fleet: TableFleet, oracle: Oracle, rng: random.Random) -> list:
-    """Append edits, some of them twice, and return when each was accepted."""
+    """Append edits, some of them twice or with an outdated base version.
+
+    :return: time and version of each acceptance.
+    """
     accepted_at: list[tuple[timedelta, int]] = []
     for index in range(EDIT_COUNT):
         utc = fleet.clock.utc()
@@ -112,7 +121,7 @@
 
 
 def compute_in_force_times_ms(fleet: TableFleet, accepted_at: list) -> list[float]:
-    """Return the time until each version was in force, for each daemon, in ms."""
+    """Return the sorted times until each version was in force at each daemon."""
     times: list[float] = []
     for daemon in fleet.daemons.values():
         for when, version in accepted_at:
@@ -130,7 +139,7 @@
 def measure_fleet(
     seed: int, size: int, scenario: str, poll_ms: int = 500
 ) -> FleetFigures:
-    """Run one fleet: quiet for a while, then with edits."""
+    """Run one fleet, first idle, then with edits."""
     fleet = start_idle_fleet(seed, size, poll_ms)
     if scenario == "one daemon reads the log":
         restrict_reads_to_one_daemon(fleet)
@@ -165,10 +174,10 @@
 
 
 def measure_idle(fleet: TableFleet) -> tuple[float, float, float]:
-    """Let a fleet run without edits.
+    """Run a fleet without edits.
 
-    :return: bytes a second and share of a core of one daemon, and reads of the log
-        a second of all.
+    :return: bytes per second and fraction of a core of one daemon, and reads of the log
+        per second by all.
     """
     size = len(fleet.daemons)
     bytes_before = count_bytes(fleet)
@@ -183,16 +192,17 @@
 
 
 def count_bytes(fleet: TableFleet) -> int:
-    """Return the bytes that all daemons sent."""
+    """Return the number of bytes that all daemons have sent."""
     return sum(daemon.bytes_sent for daemon in fleet.daemons.values())
 
 
 @attrs.frozen
 class SnapshotFigures:
-    """Snapshots that a fleet wrote.
+    """Number of snapshots that a fleet wrote.
 
-    :param due: how often one was due.
-    :param written: how many were appended.
+    :param size: number of daemons.
+    :param due: how often a snapshot was due.
+    :param written: how many snapshots were appended.
     """
 
     size: int
@@ -201,7 +211,7 @@
 
 
 def measure_snapshots(seed: int, size: int) -> SnapshotFigures:
-    """Let some times the log's retention pass and count the snapshots."""
+    """Run a fleet for a multiple of the log's retention and count its snapshots."""
     log_settings = LogSettings(retention_s=SNAPSHOT_RETENTION_S)
     fleet = TableFleet(seed, size, log_settings)
     fleet.network.max_latency_ms = MAX_LATENCY_MS
@@ -210,13 +220,13 @@
     edit = TableEdit("e", 0, "operator", "benchmark", utc, build_change("s", 1))
     fleet.append_edit(edit)
     fleet.run(timedelta(seconds=SNAPSHOT_RETENTION_S * SNAPSHOT_RETENTIONS))
-    # The time until a snapshot is written is half of the retention and a bit.
+    # A snapshot is written shortly after half of the retention time.
     due = 2 * SNAPSHOT_RETENTIONS - 1
     return SnapshotFigures(size, due, fleet.log.append_count - 1)
 
 
 def describe_fleet(figures: FleetFigures) -> str:
-    """Return one row of the report."""
+    """Format the figures of a fleet as a row of the table."""
     day_bytes = figures.idle_bytes_s + figures.edit_bytes * CHANGES_PER_DAY / DAY_S
     day_cpu = figures.idle_cpu + figures.edit_cpu_us / 1e6 * CHANGES_PER_DAY / DAY_S
     return (
@@ -244,8 +254,8 @@
         f"{commit}.",
         "",
         "Fleets of table controllers in virtual time. Messages take 0.5 ms to "
-        f"{MAX_LATENCY_MS:g} ms and {DROP_FRACTION:.0%} of them get lost; each daemon knows all "
-        "others and reads the log every 0.5 s, or every "
+        f"{MAX_LATENCY_MS:g} ms and {DROP_FRACTION:.0%} of them get lost; each daemon "
+        "knows all others and reads the log every 0.5 s, or every "
         f"{RARE_POLL_MS / 1e3:g} s in the scenario of rare reads. Times run from the "
         "append that was accepted until a daemon has the version in force, over all "
         "edits and daemons. Bytes are sent ones, with 40 bytes of overhead for each "
@@ -253,8 +263,8 @@
         f"for a day hold {CHANGES_PER_DAY} changes. Processor time is that of the "
         "controller alone.",
         "",
-        f"Bounds: {CURRENT_BOUND_MS} ms up to {CURRENT_SIZE} daemons, {DESIGN_BOUND_MS} ms "
-        "at the design size.",
+        f"Bounds: {CURRENT_BOUND_MS} ms up to {CURRENT_SIZE} daemons, "
+        f"{DESIGN_BOUND_MS} ms at the design size.",
         "",
         "| daemons | scenario | p50 ms | p99 ms | worst ms | reverted | lost | "
         "applied twice | quiet B/s | B per edit | B/s over a day | % of a core | "
@@ -289,9 +299,10 @@
 
 
 def main(seed: int = 1, largest: int = DESIGN_SIZE) -> None:
-    """Measure, write the report and print the figures.
+    """Measure, write the page of results and print the figures.
 
-    :param largest: leave out fleets of more daemons than this.
+    :param seed: seed of all random choices.
+    :param largest: largest number of daemons of a fleet to run.
     """
     git = ["git", "rev-parse", "--short", "HEAD"]
     commit = subprocess.run(git, capture_output=True, text=True).stdout.strip()
@@ -314,7 +325,7 @@
 
 
 def print_summary(results: list[FleetFigures]) -> None:
-    """Print the line that the issue names, for the largest fleet."""
+    """Print the summary; latencies are those of the largest fleet."""
     all_read_log = [r for r in results if r.scenario.startswith("all daemons")]
     one_reads_log = [r for r in results if r.scenario.startswith("one")]
     largest = all_read_log[-1]
--- a/benchmarks/table_fleet.py
+++ b/benchmarks/table_fleet.py
@@ -1,4 +1,4 @@
-"""Table controllers of many daemons, driven in virtual time with faults."""
+"""Simulate the table controllers of many daemons in virtual time, with faults."""
 
 import heapq
 import itertools
@@ -43,23 +43,26 @@
 
 
 def run_without_waiting(call: Coroutine[Any, Any, _T]) -> _T:
-    """Run a coroutine that never waits."""
+    """Run a coroutine that never suspends and return its result.
+
+    :raises RuntimeError: if it suspends.
+    """
     try:
         call.send(None)
     except StopIteration as completed:
         return completed.value
-    raise RuntimeError("the call waited")
+    raise RuntimeError("the coroutine suspended")
 
 
 @attrs.define
 class NetworkFaults:
-    """What happens to messages between daemons.
+    """Latency and faults of messages between daemons.
 
-    :param min_latency_ms: shortest way of a message.
-    :param max_latency_ms: longest way; a wide span reorders messages.
-    :param drop: share of messages that get lost.
-    :param duplicate: share of messages that arrive twice.
-    :param blocked_links: pairs of sender and receiver whose messages get lost.
+    :param min_latency_ms: shortest latency of a message.
+    :param max_latency_ms: longest latency; a wide range reorders messages.
+    :param drop: fraction of messages that are lost.
+    :param duplicate: fraction of messages that arrive twice.
+    :param blocked_links: pairs of sender and receiver whose messages are lost.
     """
 
     min_latency_ms: float = 0.5
@@ -71,13 +74,15 @@
 
 @attrs.define
 class FleetDaemon:
-    """One daemon of the fleet: its table controller and what was seen of it.
+    """One daemon: its table controller, its faults and what was observed of it.
 
+    :param up: whether it runs.
+    :param offset: next offset of the log to read; ``None`` before the first read.
     :param reads_log: whether it can read the log.
     :param appends: whether it can append to the log.
-    :param append_delay: how late its appends reach the log.
-    :param versions: versions in force over all its restarts, in order.
-    :param known_at: when its table was first known, since the last restart.
+    :param append_delay: delay until its appends reach the log.
+    :param versions: time and number of each version in force, over all restarts.
+    :param known_at: when it first had a table since its last restart.
     """
 
     name: str
@@ -97,11 +102,11 @@
 
 
 class TableFleet:
-    """Some daemons, their messages and the log, in one virtual time.
+    """Daemons, their messages and the log, in one virtual time.
 
-    :param seed: decides all that is random.
+    :param seed: seed of all random choices.
     :param size: number of daemons.
-    :param create_controller: builds the controllers; tests plant faults with it.
+    :param create_controller: creates the controllers; tests pass faulty ones.
     """
 
     def __init__(
@@ -136,12 +141,12 @@
     # Time
 
     def schedule(self, delay: timedelta, call: Callable[[], None]) -> None:
-        """Call something after a delay."""
+        """Schedule a call after a delay."""
         when = self.clock.monotonic() + delay
         heapq.heappush(self.queue, (when, next(self.sequence_numbers), call))
 
     def run(self, duration: timedelta) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time and run the scheduled calls."""
         end = self.clock.monotonic() + duration
         while self.queue and self.queue[0][0] <= end:
             when, _, call = heapq.heappop(self.queue)
@@ -152,7 +157,7 @@
     # Daemons
 
     def start(self, name: str) -> None:
-        """Start a daemon that knows nothing, perhaps again."""
+        """Start or restart a daemon without any state in memory."""
         settings = DaemonSettings(
             *(name, "bole", *[ADDRESS] * 4),
             log=self.log_settings,
@@ -173,18 +178,18 @@
         self.schedule(poll * self.rng.random(), lambda: self.poll(daemon))
 
     def stop(self, name: str) -> None:
-        """Stop a daemon; all that it knew is gone."""
+        """Stop a daemon; its state in memory is lost."""
         self.daemons[name].up = False
 
     def restart(self, name: str, downtime: timedelta) -> None:
-        """Stop a daemon and start it again a little later."""
+        """Stop a daemon and start it again after a downtime."""
         if not self.daemons[name].up:
             return
         self.stop(name)
         self.schedule(downtime, lambda: self.start(name))
 
     def dispatch(self, daemon: FleetDaemon, event: Any) -> None:
-        """Give one event to a daemon and carry out its effects."""
+        """Dispatch one event to a daemon and apply its effects."""
         if not daemon.up:
             return
         started = time.perf_counter()
@@ -195,7 +200,7 @@
         self.record_version(daemon)
 
     def record_version(self, daemon: FleetDaemon) -> None:
-        """Note the version in force at a daemon if it changed."""
+        """Record the version in force at a daemon if it changed."""
         if not daemon.blackboard.table_known:
             return
         now = self.clock.monotonic()
@@ -206,7 +211,7 @@
             daemon.versions.append((now, version))
 
     def tick(self, daemon: FleetDaemon) -> None:
-        """Tell a daemon that time has passed, and again later."""
+        """Dispatch a tick to a daemon and schedule the next one."""
         if daemon.up:
             self.dispatch(daemon, Tick())
             self.schedule(TICK_INTERVAL, lambda: self.tick(daemon))
@@ -214,7 +219,7 @@
     # The log
 
     def poll(self, daemon: FleetDaemon) -> None:
-        """Read the log for a daemon, and again later."""
+        """Read the log for a daemon and schedule the next poll."""
         if not daemon.up:
             return
         if daemon.reads_log:
@@ -251,13 +256,13 @@
             self.dispatch(daemon, LogRecordsRead(TABLE_STREAM, batch.records))
 
     def append_edit(self, edit: TableEdit) -> int:
-        """Append an edit as an operator's program does, and return its offset."""
+        """Append an edit like an operator's program and return its offset."""
         return run_without_waiting(self.log.append(TABLE_STREAM, encode_message(edit)))
 
     # Effects
 
     def apply(self, daemon: FleetDaemon, effect: Any) -> None:
-        """Carry out one effect."""
+        """Apply one effect."""
         if isinstance(effect, SendToPeer):
             self.send(daemon, effect)
         elif isinstance(effect, AppendToLog):
@@ -267,7 +272,7 @@
             self.events.append((self.clock.monotonic(), daemon.name, effect))
 
     def append(self, daemon: FleetDaemon, effect: AppendToLog) -> None:
-        """Append a record for a daemon and tell it what became of it."""
+        """Append a record for a daemon and dispatch the result to it."""
         offset, may_have_applied = None, False
         try:
             if daemon.appends:
@@ -281,7 +286,7 @@
         self.dispatch(daemon, append_event)
 
     def send(self, daemon: FleetDaemon, effect: SendToPeer) -> None:
-        """Send a message, which may get lost, late or doubled."""
+        """Send a message, which may be lost, delayed or duplicated."""
         size = len(encode_message(effect.message)) + DATAGRAM_BYTES
         daemon.bytes_sent += size
         daemon.messages_sent += 1
@@ -300,7 +305,7 @@
             self.schedule(delay, lambda: self.deliver(receiver, event, size))
 
     def deliver(self, receiver: str, event: PeerMessageReceived, size: int) -> None:
-        """Hand a message to whatever incarnation of its receiver is up."""
+        """Deliver a message to the current incarnation of its receiver."""
         daemon = self.daemons[receiver]
         daemon.bytes_received += size
         self.dispatch(daemon, event)
@@ -308,11 +313,11 @@
     # Findings
 
     def count_events(self, kind: str) -> int:
-        """Return how many events of a kind were recorded."""
+        """Return how many events of a type were recorded."""
         return sum(event.kind == kind for _, _, event in self.events)
 
     def find_reverts(self) -> list[str]:
-        """Return where a daemon went back to an older version."""
+        """Return a description of each change of a daemon to an older version."""
         reverts: list[str] = []
         for daemon in self.daemons.values():
             for (_, previous), (when, after) in itertools.pairwise(daemon.versions):
@@ -323,7 +328,7 @@
         return reverts
 
     def versions_in_force(self) -> set[int | None]:
-        """Return the versions in force at the daemons that are up."""
+        """Return the versions in force at running daemons; ``None`` for no table."""
         return {
             daemon.blackboard.table.version if daemon.blackboard.table_known else None
             for daemon in self.daemons.values()
--- a/benchmarks/table_histories.py
+++ b/benchmarks/table_histories.py
@@ -1,4 +1,4 @@
-"""Seeded histories of the table under faults, and the checks on them."""
+"""Simulate histories of the table under random faults, and check them."""
 
 import asyncio
 import random
@@ -29,7 +29,7 @@
 
 
 def build_change(row: str, value: int) -> TableChanges:
-    """Return a change of one service row that carries a value."""
+    """Build a change of one service row that carries a value to recognise."""
     return TableChanges(services={row: ServiceRow(row, drain_limit_s=float(value))})
 
 
@@ -38,14 +38,22 @@
 
 @attrs.define
 class Oracle:
-    """What the table must be: the rule for edits, told in the simplest way."""
+    """Reference implementation of the table, to compare the daemons with.
+
+    :param version: version of the table.
+    :param rows: version of the last change and value of each row.
+    :param edit_ids: identifiers of all edits decided so far.
+    """
 
     version: int = 0
     rows: dict[str, tuple[int, float]] = attrs.field(factory=dict)
     edit_ids: set[str] = attrs.field(factory=set)
 
     def apply_edit(self, edit: TableEdit) -> None:
-        """Decide the next edit in the order of the log."""
+        """Apply or reject the next edit in the order of the log.
+
+        An edit is rejected if its row changed after its base version.
+        """
         if edit.edit_id in self.edit_ids:
             return
         self.edit_ids.add(edit.edit_id)
@@ -61,7 +69,13 @@
 
 @attrs.define
 class FleetHistory:
-    """One run of a small fleet under random edits and faults."""
+    """One run of a small fleet with random edits and faults.
+
+    :param fleet: the fleet.
+    :param rng: source of edits and faults.
+    :param oracle: the table as it must be.
+    :param sent: all edits that were appended.
+    """
 
     fleet: TableFleet
     rng: random.Random
@@ -69,7 +83,7 @@
     sent: list[TableEdit] = attrs.field(factory=list)
 
     def schedule_edits_and_faults(self) -> None:
-        """Plan all edits and faults."""
+        """Schedule all edits and faults."""
         now = 0.0
         while now < HISTORY_DURATION.total_seconds():
             now += self.rng.expovariate(1.5)
@@ -80,7 +94,7 @@
             self.fleet.schedule(timedelta(seconds=now), self.cause_fault)
 
     def edit(self) -> None:
-        """Append an edit, based on a version that may be old, or an old edit again."""
+        """Append an edit, perhaps with an old base version, or repeat an old edit."""
         if self.sent and self.rng.random() < 0.1:
             edit = self.rng.choice(self.sent[-5:])
         else:
@@ -97,7 +111,7 @@
         self.oracle.apply_edit(edit)
 
     def cause_fault(self) -> None:
-        """Cause one random fault that ends by itself."""
+        """Inject one random fault; most end after a random time."""
         faults = (
             self.make_log_unavailable,
             self.restrict_log_access,
@@ -116,16 +130,16 @@
         return timedelta(seconds=self.rng.uniform(0.1, longest_s))
 
     def make_log_unavailable(self) -> None:
-        """Make the log unreachable for all."""
+        """Make the log unavailable to all for a while."""
         self.fleet.log.faults.away = True
         self.fleet.schedule(self.random_duration(25), self.restore_log)
 
     def restore_log(self) -> None:
-        """Make the log reachable."""
+        """Make the log available again."""
         self.fleet.log.faults.away = False
 
     def restrict_log_access(self) -> None:
-        """Cut some daemons off from the log, one way or both."""
+        """Deny two daemons reading the log, appending to it, or both, for a while."""
         reads, appends = self.rng.choice(((False, True), (True, False), (False, False)))
         for name in self.rng.sample(list(self.fleet.daemons), 2):
             self.set_log_access(name, reads, appends)
@@ -133,13 +147,13 @@
             self.fleet.schedule(end, lambda n=name: self.set_log_access(n, True, True))
 
     def set_log_access(self, name: str, reads: bool, appends: bool) -> None:
-        """Set what a daemon can do with the log."""
+        """Set whether a daemon can read the log and append to it."""
         daemon = self.fleet.daemons[name]
         daemon.reads_log = reads
         daemon.appends = appends
 
     def block_links(self) -> None:
-        """Cut a daemon off from some others, in one direction or in both."""
+        """Block a daemon's links to some others, in one direction or both."""
         names = list(self.fleet.daemons)
         isolated = self.rng.choice(names)
         others = self.rng.sample(names, self.rng.randint(1, len(names) - 1))
@@ -152,21 +166,21 @@
         )
 
     def restore_links(self, blocked_links: set[tuple[str, str]]) -> None:
-        """End a cut."""
+        """Unblock links."""
         self.fleet.network.blocked_links -= blocked_links
 
     def restart_random_daemon(self) -> None:
-        """Replace one daemon."""
+        """Restart a random daemon."""
         name = self.rng.choice(list(self.fleet.daemons))
         self.fleet.restart(name, self.random_duration(3))
 
     def restart_all_daemons(self) -> None:
-        """Replace all daemons at once."""
+        """Restart all daemons at the same time."""
         for name in list(self.fleet.daemons):
             self.fleet.restart(name, self.random_duration(3))
 
     def delay_appends(self) -> None:
-        """Let a daemon's appends reach the log late, as if it had paused."""
+        """Delay a daemon's appends, as if it had been suspended before each."""
         daemon = self.fleet.daemons[self.rng.choice(list(self.fleet.daemons))]
         daemon.append_delay = self.random_duration(30)
 
@@ -179,7 +193,7 @@
             self.set_log_access(name, True, True)
 
     def find_faults(self) -> list[str]:
-        """Return what went wrong in the history."""
+        """Return descriptions of all violations in the history."""
         found = self.fleet.find_reverts()
         for daemon in self.fleet.daemons.values():
             found += self.compare_daemon(daemon.name)
@@ -189,7 +203,7 @@
         return found
 
     def compare_daemon(self, name: str) -> list[str]:
-        """Compare the table of one daemon with what it must be."""
+        """Compare the table of one daemon with the reference."""
         board = self.fleet.daemons[name].blackboard
         if not board.table_known:
             return [f"{name} has no table"]
@@ -208,9 +222,9 @@
     create_controller: Callable[..., TableController] = TableController,
     size: int = 5,
 ) -> FleetHistory:
-    """Run one history of a small fleet, to its settled end.
+    """Run one history of a small fleet until it has converged without faults.
 
-    :param create_controller: builds the controllers; tests plant faults with it.
+    :param create_controller: creates the controllers; tests pass faulty ones.
     """
     log_settings = LogSettings(poll_ms=500, retention_s=RETENTION_S)
     fleet = TableFleet(seed, size, log_settings, create_controller=create_controller)
@@ -230,10 +244,11 @@
 
 
 class TableModel(detangle.lin.Model):
-    """The table as operators see it: rows with the version of their last change.
+    """Sequential model of the table as operators see it.
 
-    Operations: ``edit`` ((row, value, base version)) gives the new version, or 0
-    if refused; ``read`` gives the version and the values of the rows.
+    The state is the version and the rows with the version of their last change.
+    Operations: ``edit`` of (row, value, base version) returns the new version, or 0 if
+    refused; ``read`` returns the version and the values of the rows.
     """
 
     name = "table"
@@ -243,7 +258,7 @@
         return (0, ())
 
     def step(self, state: Any, op: Any) -> tuple[bool, Any]:
-        """Apply one operation."""
+        """Return whether an operation is possible in a state, and the next state."""
         version, rows = state
         is_known = op.status == "ok"
         if op.f == "read":
@@ -268,7 +283,7 @@
     rng: random.Random,
     count: int,
 ) -> None:
-    """Read and edit the table some times, as one operator."""
+    """Read and edit the table repeatedly, as one operator."""
     for index in range(count):
         base = await record_read(name, client, history)
         await asyncio.sleep(rng.uniform(0, 2))
@@ -282,7 +297,10 @@
 async def record_read(
     name: str, client: TableClient, history: detangle.History
 ) -> int | None:
-    """Read the table once and return its version, or ``None``."""
+    """Read the table, record the result and return its version.
+
+    :return: ``None`` if the log is unavailable.
+    """
 
     async def read() -> tuple[int, Any]:
         table = await client.read_table()
@@ -302,7 +320,7 @@
     history: detangle.History,
     change: tuple[str, int, int],
 ) -> None:
-    """Propose one edit and record what its operator is told."""
+    """Propose one edit and record the result that its operator gets."""
     row, value, base = change
     edit = client.make_edit(base, build_change(row, value), Proposal(name, "history"))
 
@@ -321,7 +339,7 @@
 
 
 async def inject_log_faults(log: InMemoryLogService, rng: random.Random) -> None:
-    """Cause faults of the log, for as long as operators work."""
+    """Inject random faults of the log until cancelled."""
     while True:
         await asyncio.sleep(rng.uniform(0.2, 3))
         log.faults.away = rng.random() < 0.2
@@ -332,7 +350,10 @@
 async def write_snapshots(
     log: InMemoryLogService, client: TableClient, rng: random.Random, pause_s: float
 ) -> None:
-    """Write snapshots into the log, each a while after it was taken."""
+    """Append snapshots to the log until cancelled, each some time after its read.
+
+    :param pause_s: longest time between reading the table and appending the snapshot.
+    """
     while True:
         try:
             fold = await client.read_fold()
@@ -351,9 +372,9 @@
     operators: int = 3,
     edits: int = 4,
 ) -> detangle.History:
-    """Run one history of operators who edit at the same time.
+    """Run one history of operators who edit concurrently.
 
-    :param create_client: builds their clients; tests plant faults with it.
+    :param create_client: creates their clients; tests pass faulty ones.
     """
     rng = random.Random(seed)
     history = detangle.History()
--- a/benchmarks/table_size.py
+++ b/benchmarks/table_size.py
@@ -1,4 +1,4 @@
-"""What a table of the design size costs one daemon."""
+"""Measure the cost of a table of the design size to one daemon."""
 
 import gc
 import os
@@ -38,9 +38,9 @@
     :param rows: number of rows.
     :param snapshot_bytes: size of the encoded snapshot.
     :param encode_ms: time to encode it.
-    :param load_ms: time to decode and check it.
-    :param held_mb: memory held by the fold, as Python counts it.
-    :param resident_mb: growth of a fresh process that loads it, its peak included.
+    :param load_ms: time to decode and verify it.
+    :param held_mb: memory held by the loaded fold, as ``tracemalloc`` counts it.
+    :param resident_mb: growth of the resident memory of a new process that loads it.
     :param edit_us: time to decide one edit of one backend server.
     """
 
@@ -54,7 +54,7 @@
 
 
 def build_snapshot(rng: random.Random) -> bytes:
-    """Return an encoded snapshot of a random table of the design size."""
+    """Build an encoded snapshot of a random table of the design size."""
     services = [f"service-{index:03d}" for index in range(SERVICE_COUNT)]
     table = Table()
     for name in services:
@@ -80,7 +80,7 @@
 
 
 def edit_server(fold: TableFold, index: int, rng: random.Random) -> None:
-    """Decide an edit of one random backend server."""
+    """Apply an edit of one random backend server to the fold."""
     rows = fold.table.backend_servers
     key = rows.packed_keys[rng.randrange(len(rows.packed_keys))].decode()
     row = rows.make_row(key, round(rng.uniform(0.1, 2), 2))
@@ -120,7 +120,7 @@
 
 
 def measure_resident(data: bytes) -> float:
-    """Return the growth of a fresh process that loads a fold, in MB."""
+    """Return the growth in MB of a new process that loads a snapshot."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder, "snapshot")
         path.write_bytes(data)
@@ -129,7 +129,7 @@
 
 
 def print_growth(path: str) -> None:
-    """Load a snapshot and print the growth of this process in MB."""
+    """Load a snapshot and print the growth of the resident memory in MB."""
     data = pathlib.Path(path).read_bytes()
     gc.collect()
     before = read_resident_mb()
