--- a/benchmarks/control_fleet.py
+++ b/benchmarks/control_fleet.py
@@ -150,16 +150,16 @@
         requested_indices = rng.sample(
             other_indices, min(shape.wants, len(other_indices))
         )
-        wanted = [name_service(i, shape) for i in requested_indices]
+        requested = [name_service(i, shape) for i in requested_indices]
         node = bus.add(
             f"daemon-{index:04d}",
             settings,
             serves,
-            wanted,
+            requested,
             zone=f"zone-{index % 14:02d}",
             targets_per_service=shape.targets_per_service,
         )
-        set_services(node, tuple(sorted(set(serves))), tuple(sorted(wanted)))
+        set_services(node, tuple(sorted(set(serves))), tuple(sorted(requested)))
     members = {name: node.blackboard.this_member for name, node in bus.nodes.items()}
     for node in bus.nodes.values():
         node.blackboard.members.update(members)
@@ -223,13 +223,13 @@
     settings = attrs.evolve(old_node.controllers[0].settings, seeds=(seed,))
     local_member = old_node.blackboard.this_member
     services = sorted({target.service for target in old_node.announced.values()})
-    wanted = [name for name in local_member.services if name not in services]
+    requested = [name for name in local_member.services if name not in services]
     per_service = len(old_node.announced) // len(services)
     bus.add(
         daemon_id,
         settings,
         services,
-        wanted,
+        requested,
         zone=local_member.availability_zone,
         targets_per_service=per_service,
     )
@@ -252,9 +252,9 @@
     targets = [t for node in bus.nodes.values() for t in node.announced.values()]
     for name in bus.observed:
         board = bus.nodes[name].blackboard
-        wanted = [t for t in targets if t.service in board.this_member.services]
-        needed += len(wanted)
-        missing += sum(t.target_id not in board.targets for t in wanted)
+        requested = [t for t in targets if t.service in board.this_member.services]
+        needed += len(requested)
+        missing += sum(t.target_id not in board.targets for t in requested)
     return missing, needed
 
 
--- a/benchmarks/detection_simulation.py
+++ b/benchmarks/detection_simulation.py
@@ -440,8 +440,8 @@
     def choose_route(self) -> tuple[str, float]:
         """Choose a route and return its name and median time in seconds."""
         draw = self.rng.random()
-        for name, share, median in ROUTES:
-            draw -= share
+        for name, probability, median in ROUTES:
+            draw -= probability
             if draw < 0:
                 return name, median
         return ROUTES[-1][0], ROUTES[-1][2]
--- a/benchmarks/histories/callers.py
+++ b/benchmarks/histories/callers.py
@@ -53,10 +53,10 @@
             return
         self.keys[operation] = (kind, key)
         for attempt in range(MAX_SEND_ROUNDS):
-            double = kind.keyed and self.rng.random() < 0.2
+            sends_twice = kind.keyed and self.rng.random() < 0.2
             sendings = [
-                self.send(operation, kind, key, attempt == 0 and not double)
-                for _ in range(2 if double else 1)
+                self.send(operation, kind, key, attempt == 0 and not sends_twice)
+                for _ in range(2 if sends_twice else 1)
             ]
             results = await asyncio.gather(*sendings)
             if not any(self.should_resend(result) for result in results):
--- a/benchmarks/requests_fleet.py
+++ b/benchmarks/requests_fleet.py
@@ -233,7 +233,7 @@
         code = await program.process.wait()
         self.programs.remove(program)
         if code:
-            raise RuntimeError(f"callers of {spec.name} failed with exit code {code}")
+            raise RuntimeError(f"process of callers {spec.name} failed")
         return msgspec.json.decode(result.read_bytes(), type=list[Outcome])
 
     async def start_program(self, name: str, module: str, *arguments: str) -> Program:
--- a/examples/demo_traffic.py
+++ b/examples/demo_traffic.py
@@ -131,14 +131,14 @@
 
     async def send_random_request(self) -> None:
         """Send one request of a random type."""
-        kinds = (
+        senders = (
             self.send_lookup,
             self.send_upload,
             self.sign_with_ticket,
             self.sign_with_key,
         )
-        kind = self.rng.choices(kinds, weights=(70, 10, 10, 10))[0]
-        await kind()
+        sender = self.rng.choices(senders, weights=(70, 10, 10, 10))[0]
+        await sender()
 
     def create_key(self) -> str:
         """Return a new identifier of a request."""
