--- a/benchmarks/check_histories.py
+++ b/benchmarks/check_histories.py
@@ -55,7 +55,8 @@
     verdict = f"histories={runs} violations={violations}"
     if report:
         markdown_report.add_text(
-            "Sendings by kind and verdict, and schedules by fault, one or two in each."
+            "Sends by operation type and verdict, and schedules by fault; each "
+            "schedule has one or two faults."
         )
         rows = sorted({**outcomes, **faults}.items())
         markdown_report.add_table(
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -201,7 +201,7 @@
         f"{cost.seconds_per_message * 1e6:.0f} µs of processor time for a message "
         f"sent and received, {cost.seconds_per_connection * 1e6:.0f} µs for a new "
         f"connection; at {largest.case.shape.daemons} daemons that is "
-        f"{channel_cpu:.2f} % of a core, connections left out."
+        f"{channel_cpu:.2f} % of a core, without connections."
     )
     memory_mb = (table[0] + table[1] * DESIGN_DAEMONS) / 1e6
     return {
--- a/benchmarks/control_bad_hours.py
+++ b/benchmarks/control_bad_hours.py
@@ -223,8 +223,8 @@
         print(results, flush=True)
     report.add_text(
         f"{DAEMONS} daemons in 14 zones, renew {DESIGN_SETTINGS.renew_ms} ms, lease "
-        f"{DESIGN_SETTINGS.lease_ms} ms. Bytes are sent and received together, of one "
-        "daemon. A time of -1 means that it did not end within the time watched."
+        f"{DESIGN_SETTINGS.lease_ms} ms. Bytes are those sent and received by one "
+        "daemon. A time of -1 means that the state was not reached before the time-out."
     )
     headings = [field.name for field in attrs.fields(FaultResult)]
     rows = [
--- a/benchmarks/control_daemons.py
+++ b/benchmarks/control_daemons.py
@@ -174,8 +174,8 @@
             loads = run_size(count, seed, pathlib.Path(folder))
         if loads:
             return loads
-        print(f"{count} daemons: a stand-in ended early; once more", flush=True)
-    raise RuntimeError(f"the stand-ins for {count} daemons did not stay up")
+        print(f"{count} daemons: a fake service exited early; retrying", flush=True)
+    raise RuntimeError(f"fake services for {count} daemons exited in all attempts")
 
 
 def measure_daemons(
@@ -220,7 +220,7 @@
     for path, process in processes.items():
         if process.poll() is not None:
             last = path.read_text().splitlines()[-1:]
-            print(f"ended early: {path.stem} {last}", flush=True)
+            print(f"daemon exited early: {path.stem} {last}", flush=True)
     return {
         path: process for path, process in processes.items() if process.poll() is None
     }
@@ -247,11 +247,11 @@
         points.append((count, figures))
         print(dict(zip(["daemons", *names], rows[-1], strict=True)), flush=True)
     report.add_text(
-        "Idle daemons, each beside one backend server that renews twice a second; "
-        "three in four serve one service, the rest another. Mean of all daemons. "
-        f"Processor time and memory over {DURATION_S:.0f} s after a start of "
-        f"{WARM_UP_S:.0f} s; bytes and messages from the start on, as the channel "
-        "counts them (without headers of ZeroMQ, TCP and IP)."
+        "Idle daemons, each beside one backend server that announces itself twice a "
+        "second; 3 of 4 serve one service, the rest another. Means over all daemons. "
+        f"Processor time and memory over {DURATION_S:.0f} s after a warm-up of "
+        f"{WARM_UP_S:.0f} s; bytes and messages since the start, as the channel counts "
+        "them (without headers of ZeroMQ, TCP and IP)."
     )
     report.add_table(["daemons", *names], rows)
     last = points[-1][1]
--- a/benchmarks/detection.py
+++ b/benchmarks/detection.py
@@ -184,12 +184,12 @@
         f"{commit}, {platform.machine()}, Python {platform.python_version()}. "
         "Virtual time; 26 daemons, 20 requests/s a target, routes 70/20/10 %.",
         "",
-        "Times in ms from the onset until 9 in 10 of the daemons concerned avoided the "
-        "target; a target not found counts with the whole time watched. False "
-        "ejections: healthy targets out for the fleet or for most daemons, and per "
-        "target-hour. Weight: lowest in any view or for the union, against the floor. "
-        "Zone-slow, cold start, lying load endpoint, silent connections and overload "
-        "have no target at fault.",
+        "Times in ms from the onset until 90 % of the affected daemons avoided the "
+        "target; a target that was not detected counts with the whole observed time. "
+        "False ejections: healthy targets ejected or avoided by most daemons, and "
+        "their number per target-hour. Weight: the lowest in service in any daemon's "
+        "view or without all ejected targets, and the floor. No target is faulty in "
+        "zone-slow, cold start, lying load endpoint, silent connections and overload.",
         "",
         "| user | service | fault | policy | p50 | p99 | missed | sent "
         "| false (per h) | weight | broken |",
--- a/benchmarks/detection_cost.py
+++ b/benchmarks/detection_cost.py
@@ -137,8 +137,8 @@
         "",
         f"`python -m benchmarks.detection_cost --seed={seed}`, commit {commit}, "
         f"{platform.machine()}, Python {platform.python_version()}; processor time. "
-        f"{ROUTE_COUNT} routes a service; memory of all targets, and of one on one "
-        "route.",
+        f"{ROUTE_COUNT} routes per service; memory for all targets, and for one target "
+        "and route.",
         "",
         "| targets | services | us an outcome | us a tick | kB | kB a route |",
         "|---|---|---|---|---|---|",
@@ -153,8 +153,8 @@
         print(lines[-1], flush=True)
     lines += [
         "",
-        "Bytes of evidence that a daemon sends, mean over all daemons, all targets "
-        "healthy, 20 targets with 20 requests a second each:",
+        "Bytes of evidence that a daemon sends, mean over all daemons, with 20 healthy "
+        "targets that get 20 requests a second each:",
         "",
         "| daemons | bytes a second |",
         "|---|---|",
--- a/benchmarks/events.py
+++ b/benchmarks/events.py
@@ -85,11 +85,11 @@
     rng = random.Random(seed)
     report = Report("Events", "events", seed)
     rings = [(size, *measure_ring(size, rng)) for size in RING_SIZES]
-    report.add_text("One daemon's ring, full; the time is that to record one more.")
+    report.add_text("A full ring of one daemon; the time is that to record one event.")
     rows = [[str(size), f"{mb:.2f}", f"{us:.2f}"] for size, mb, us in rings]
     report.add_table(["events", "memory_mb", "record_us"], rows)
     merges = [(count, *measure_merge(count, rng)) for count in MERGED_DAEMONS]
-    report.add_text(f"Merging rings of {MERGED_RING} events at the operator's.")
+    report.add_text(f"Merging rings of {MERGED_RING} events in the operator's program.")
     rows = [[str(count), f"{mb:.1f}", f"{s:.2f}"] for count, mb, s in merges]
     report.add_table(["daemons", "wire_mb", "processor_s"], rows)
     slope = fit_slope([(count, s) for count, _, s in merges])[1]
--- a/benchmarks/histories/network.py
+++ b/benchmarks/histories/network.py
@@ -74,7 +74,7 @@
         self.appends += 1
         await asyncio.sleep(self.rng.uniform(0.001, 0.01))
         if self.faults.log_unavailable:
-            raise LogUnavailableError("the log is away")
+            raise LogUnavailableError("the log service is unavailable")
         if (daemon, LOG) in self.faults.blocked_links:
             await asyncio.sleep(APPEND_TIMEOUT_S)
             raise AppendUnknownError("no acknowledgment")
@@ -116,7 +116,7 @@
         await asyncio.sleep(self.rng.uniform(0.001, 0.01))
         blocked = {(daemon, LOG), (LOG, daemon)} & self.faults.blocked_links
         if self.faults.log_unavailable or blocked:
-            raise LogUnavailableError("the log is away")
+            raise LogUnavailableError("the log service is unavailable")
         oldest = self.oldest.get(stream, 0)
         if offset < oldest:
             raise RecordExpiredError(oldest)
--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -208,9 +208,9 @@
 def add_measurements(report: Report, measurements: list[Measurement]) -> None:
     """Add the table of all measurements to the report."""
     report.add_text(
-        "Entry, runtime, log client and the stand-in of the log service share one "
-        "process and one core, so the processor time of a keyed request includes the "
-        "stand-in's."
+        "The entry, its runtime, its log client and the fake log service share one "
+        "process and one core, so the processor time of a keyed request includes that "
+        "of the fake log service."
     )
     headings = ["log delay ms", "callers", "kind", "requests", "p50 ms", "p99 ms"]
     headings += ["appends per 1,000 requests", "CPU us per request"]
--- a/benchmarks/requests_report.py
+++ b/benchmarks/requests_report.py
@@ -179,12 +179,12 @@
         f"- seed {seed}, commit {commit}, {seconds:g} s for each cell, the first "
         f"{WARMUP_FRACTION:.0%} not counted",
         f"- {FLEET_SIZE} daemons and backend servers with {SLOTS} slots, "
-        f"{TIMEOUT_MS} ms allowed, 30% unrepeatable",
+        f"deadline {TIMEOUT_MS} ms, 30% of the requests non-idempotent",
         f"- straggler: one backend server in {FLEET_SIZE} takes "
         f"{STRAGGLER_FACTOR:g} times as long; its last row runs "
         f"{STRAGGLER_CELL_FACTOR:g} times as long as the others",
-        "- times leave out quick refusals (503) and take in failures and timeouts; "
-        "goodput counts whole own answers by the time when they were whole",
+        "- latencies exclude refusals (503) and include failures and timeouts; goodput "
+        "counts complete and correct responses by completion time",
         f"- round robin runs as {PROXIES} proxies, one for each instance",
         "",
         "| system | load | straggler | work ms | goodput/s | p50 ms | p99 ms "
@@ -203,8 +203,8 @@
         "|---|---|---|---|",
         *describe_goals(cells, path_cost),
         "",
-        f"Price of the path at {DESIGN_RATE:g} requests a second at one daemon, "
-        f"paired with direct calls (work {ADDED_WORK_MS:g} ms): direct p50 "
+        f"Cost of the path at {DESIGN_RATE:g} requests a second at one daemon, "
+        f"compared with direct requests (work {ADDED_WORK_MS:g} ms): direct p50 "
         f"{path_cost.direct_p50_ms:.2f} ms, p99 {path_cost.direct_p99_ms:.2f} ms; "
         f"added p50 {path_cost.added_ms_p50:.2f} ms, p99 "
         f"{path_cost.added_ms_p99:.2f} ms.",
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -158,10 +158,10 @@
         "",
         f"- machine: {platform.machine()}, {os.cpu_count()} cores, Python "
         f"{platform.python_version()}; seed {seed}, commit {commit}",
-        f"- upload of {UPLOAD_MIB} MiB, then an answer of {ANSWER_MIB} MiB whose "
+        f"- upload of {UPLOAD_MIB} MiB, then a response of {ANSWER_MIB} MiB whose "
         f"first {SLOW_READS} chunks are read {SLOW_READ_PAUSE_S * 1000:g} ms apart",
-        f"- peak resident memory of whole daemons; the budget is {MEMORY_BUDGET_MB} MB "
-        "for control",
+        "- peak resident memory of each daemon process; the budget is "
+        f"{MEMORY_BUDGET_MB} MB for control",
         "",
         "| after | entry MB | gate MB | seconds |",
         "|---|---|---|---|",
--- a/benchmarks/table.py
+++ b/benchmarks/table.py
@@ -254,13 +254,13 @@
         f"{commit}.",
         "",
         "Fleets of table controllers in virtual time. Messages take 0.5 ms to "
-        f"{MAX_LATENCY_MS:g} ms and {DROP_FRACTION:.0%} of them get lost; each daemon "
+        f"{MAX_LATENCY_MS:g} ms and {DROP_FRACTION:.0%} of them are lost; each daemon "
         "knows all others and reads the log every 0.5 s, or every "
         f"{RARE_POLL_MS / 1e3:g} s in the scenario of rare reads. Times run from the "
         "append that was accepted until a daemon has the version in force, over all "
-        "edits and daemons. Bytes are sent ones, with 40 bytes of overhead for each "
-        "message; about as many are received. The bytes and the share of a core "
-        f"for a day hold {CHANGES_PER_DAY} changes. Processor time is that of the "
+        "edits and daemons. Bytes are those sent, with 40 bytes of overhead for each "
+        "message; about as many are received. The bytes and the fraction of a core "
+        f"over a day include {CHANGES_PER_DAY} changes. Processor time is that of the "
         "controller alone.",
         "",
         f"Bounds: {CURRENT_BOUND_MS} ms up to {CURRENT_SIZE} daemons, "
@@ -286,8 +286,9 @@
         "",
         "## Snapshots",
         "",
-        f"Retention {SNAPSHOT_RETENTION_S:g} s, {SNAPSHOT_RETENTIONS} times over; a "
-        "snapshot is due after half of it, and each daemon draws its moment within "
+        f"Retention {SNAPSHOT_RETENTION_S:g} s; fleets ran {SNAPSHOT_RETENTIONS} times "
+        "as long. A snapshot is due after half of the retention, and each daemon delays "
+        "it by a random time of at most "
         f"{SNAPSHOT_RETENTION_S / 8:g} s (3 hours with a retention of a day).",
         "",
         "| daemons | due | written |",
