--- a/benchmarks/platform_soak.py
+++ b/benchmarks/platform_soak.py
@@ -189,7 +189,7 @@
                 f"{outcome.key} ran and was refused with {outcome.status}"
             )
         if outcome.status == 200 and not outcome.is_expected_answer:
-            violations.append(f"{outcome.key} got another answer than its own")
+            violations.append(f"{outcome.key} got the response to another request")
     final_outcomes = [
         outcome for outcome in outcomes if outcome.at_s >= final_phase_start
     ]
@@ -202,7 +202,7 @@
 def find_interrupted_requests(
     outcomes: list[RequestOutcome], runs: "collections.Counter[str]"
 ) -> list[str]:
-    """Return the requests that were interrupted although no fault was unplanned.
+    """Return the requests that were interrupted by planned operations.
 
     A request that crosses the close of an idle keep-alive connection, so that it never
     ran and its caller sees the close at once, is not counted: in HTTP/1.1 neither end
--- a/benchmarks/table.py
+++ b/benchmarks/table.py
@@ -287,8 +287,8 @@
         "## Snapshots",
         "",
         f"Retention {SNAPSHOT_RETENTION_S:g} s; fleets ran {SNAPSHOT_RETENTIONS} times "
-        "as long. A snapshot is due after half of the retention, and each daemon delays "
-        "it by a random time of at most "
+        "as long. A snapshot is due after half of the retention, and each daemon "
+        "delays it by a random time of at most "
         f"{SNAPSHOT_RETENTION_S / 8:g} s (3 hours with a retention of a day).",
         "",
         "| daemons | due | written |",
