--- a/benchmarks/control_fleet.py
+++ b/benchmarks/control_fleet.py
@@ -142,13 +142,15 @@
     bus = MeasuredBus(seed)
     rng = random.Random(seed)
     for index in range(shape.daemons):
-        first = index * shape.serves
-        serves = [name_service(first + i, shape) for i in range(shape.serves)]
+        first = index * shape.served_per_daemon
+        serves = [
+            name_service(first + i, shape) for i in range(shape.served_per_daemon)
+        ]
         other_indices = [
             i for i in range(shape.services) if name_service(i, shape) not in serves
         ]
         requested_indices = rng.sample(
-            other_indices, min(shape.wants, len(other_indices))
+            other_indices, min(shape.requested_per_daemon, len(other_indices))
         )
         requested = [name_service(i, shape) for i in requested_indices]
         node = bus.add(
