--- a/benchmarks/control_fleet.py
+++ b/benchmarks/control_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of real membership and dissemination controllers on the in-memory bus."""
+"""Run fleets of real membership and dissemination controllers on an in-memory bus."""
 
 import functools
 import random
@@ -18,39 +18,39 @@
 from wagtailstep.models.settings import MembershipSettings
 from wagtailstep.utils.codec import decode_message, encode_message
 
-OBSERVED = 6
+OBSERVED_DAEMON_COUNT = 6
 LAMPORT_EXAMPLE = 1_000_000
 
 
 @attrs.frozen
 class FleetShape:
-    """What a fleet consists of.
+    """Size and services of a fleet.
 
     :param daemons: number of daemons.
     :param services: number of services.
-    :param serves: services that each daemon has backend servers of.
-    :param wants: further services that each daemon asks for.
-    :param targets_per_service: backend servers of one service beside one daemon.
+    :param served_per_daemon: services with backend servers beside each daemon.
+    :param requested_per_daemon: further services whose targets each daemon needs.
+    :param targets_per_service: backend servers of each served service per daemon.
     """
 
     daemons: int
     services: int
-    serves: int
-    wants: int
+    served_per_daemon: int
+    requested_per_daemon: int
     targets_per_service: int
 
     @property
     def targets(self) -> int:
         """Return the number of targets of the fleet."""
-        return self.daemons * self.serves * self.targets_per_service
+        return self.daemons * self.served_per_daemon * self.targets_per_service
 
 
 @attrs.define
 class Load:
-    """What the observed daemons did during a measurement.
+    """Messages and processor time of the observed daemons during a measurement.
 
     :param sent: messages sent by type.
-    :param sent_bytes: their encoded size by type, sender and stamp included.
+    :param sent_bytes: their encoded size by type, with sender and logical time.
     :param received: messages received.
     :param received_bytes: their encoded size.
     :param cpu_s: processor time of controllers and codec.
@@ -70,13 +70,13 @@
 
 
 def decode_stamped(frames: list[bytes]) -> Any:
-    """Decode what :func:`encode_stamped` made."""
+    """Decode the frames that :func:`encode_stamped` built."""
     return decode_message(decode_message(frames[1]).body)
 
 
 @functools.lru_cache(maxsize=100_000)
 def intern_member(entry: MemberEntry) -> Member:
-    """Make one member for all daemons of this process."""
+    """Return one shared member for equal entries, to save memory in this process."""
     return _TO_MEMBER(entry)
 
 
@@ -85,7 +85,7 @@
 
 
 class MeasuredBus(ControlBus):
-    """A bus that measures what some of its daemons do.
+    """A bus that measures the load of some of its daemons.
 
     :param seed: seed of all random choices.
     """
@@ -98,7 +98,7 @@
         self.load = Load()
 
     def send(self, node: BusNode, effect: SendToPeer) -> None:
-        """Carry one message, and encode it if an observed daemon is at an end."""
+        """Send one message; encode it if an observed daemon sends or receives it."""
         receiver = self.addresses.get(effect.address)
         sends = node.daemon_id in self.observed
         receives = receiver is not None and receiver.daemon_id in self.observed
@@ -123,7 +123,7 @@
         self.load.received_bytes += size
 
     def dispatch(self, node: BusNode, event: Any) -> None:
-        """Give an event to a daemon, and take the time if it is observed."""
+        """Dispatch an event to a daemon, and measure the time if it is observed."""
         if node.daemon_id not in self.observed:
             super().dispatch(node, event)
             return
@@ -135,33 +135,39 @@
 
 
 def build_fleet(shape: FleetShape, settings: MembershipSettings, seed: int) -> Any:
-    """Start a fleet whose daemons all know each other.
+    """Start a fleet whose daemons all know all members.
 
     :return: the bus.
     """
     bus = MeasuredBus(seed)
     rng = random.Random(seed)
     for index in range(shape.daemons):
-        first = index * shape.serves
-        serves = [name_service(first + i, shape) for i in range(shape.serves)]
-        others = [
+        first = index * shape.served_per_daemon
+        serves = [
+            name_service(first + i, shape) for i in range(shape.served_per_daemon)
+        ]
+        other_indices = [
             i for i in range(shape.services) if name_service(i, shape) not in serves
         ]
-        picked = rng.sample(others, min(shape.wants, len(others)))
-        wanted = [name_service(i, shape) for i in picked]
+        requested_indices = rng.sample(
+            other_indices, min(shape.requested_per_daemon, len(other_indices))
+        )
+        requested = [name_service(i, shape) for i in requested_indices]
         node = bus.add(
             f"daemon-{index:04d}",
             settings,
             serves,
-            wanted,
+            requested,
             zone=f"zone-{index % 14:02d}",
             targets_per_service=shape.targets_per_service,
         )
-        introduce(node, tuple(sorted(set(serves))), tuple(sorted(wanted)))
+        set_services(node, tuple(sorted(set(serves))), tuple(sorted(requested)))
     members = {name: node.blackboard.this_member for name, node in bus.nodes.items()}
     for node in bus.nodes.values():
         node.blackboard.members.update(members)
-    bus.observed = set(rng.sample(sorted(bus.nodes), min(OBSERVED, shape.daemons)))
+    bus.observed = set(
+        rng.sample(sorted(bus.nodes), min(OBSERVED_DAEMON_COUNT, shape.daemons))
+    )
     return bus
 
 
@@ -170,8 +176,10 @@
     return f"service-{index % shape.services:03d}"
 
 
-def introduce(node: BusNode, serves: tuple[str, ...], wants: tuple[str, ...]) -> None:
-    """Fill in the services of a daemon as if it had announced them."""
+def set_services(
+    node: BusNode, serves: tuple[str, ...], wants: tuple[str, ...]
+) -> None:
+    """Set the services of a daemon as if it had announced them."""
     member = attrs.evolve(
         node.blackboard.this_member, serves=serves, services=serves + wants
     )
@@ -179,19 +187,19 @@
     node.blackboard.members[node.daemon_id] = member
 
 
-def measure(bus: MeasuredBus, warm_up_s: float, duration_s: float) -> Load:
-    """Run a fleet and return the load of one observed daemon, per second."""
+def measure_load(bus: MeasuredBus, warm_up_s: float, duration_s: float) -> Load:
+    """Run a fleet and return the mean load per second of an observed daemon."""
     run_with_restarts(bus, warm_up_s)
     bus.load = Load()
-    bus.lapses_before = count_lapses(bus)
+    bus.lapses_before = count_lapsed_leases(bus)
     run_with_restarts(bus, duration_s)
-    return scale(bus.load, 1.0 / (duration_s * len(bus.observed)))
+    return scale_load(bus.load, 1.0 / (duration_s * len(bus.observed)))
 
 
-def restart_daemons(
+def schedule_restarts(
     bus: MeasuredBus, per_second: int, start_s: float, end_s: float
 ) -> None:
-    """Plan restarts of daemons that are not observed, at a steady rate."""
+    """Schedule restarts of daemons that are not observed, at a constant rate."""
     count = round((end_s - start_s) * per_second)
     bus.restarts = [
         timedelta(seconds=start_s + index / per_second) for index in range(count)
@@ -199,37 +207,39 @@
 
 
 def run_with_restarts(bus: MeasuredBus, duration_s: float) -> None:
-    """Let time pass and restart daemons when planned."""
+    """Advance time and restart daemons at the scheduled times."""
     end = bus.clock.monotonic() + timedelta(seconds=duration_s)
     while bus.restarts and bus.restarts[0] < end:
         bus.run(bus.restarts.pop(0) - bus.clock.monotonic())
-        restart_one(bus)
+        restart_random_daemon(bus)
     bus.run(end - bus.clock.monotonic())
 
 
-def restart_one(bus: MeasuredBus) -> None:
-    """Replace a daemon by one of the same name that knows one other daemon."""
+def restart_random_daemon(bus: MeasuredBus) -> None:
+    """Replace a random daemon by a new one with its name that has one seed peer."""
     names = sorted(name for name in bus.nodes if name not in bus.observed)
     daemon_id = bus.rng.choice(names)
-    old = bus.nodes[daemon_id]
-    old.running = False
+    old_node = bus.nodes[daemon_id]
+    old_node.running = False
     seed = bus.nodes[bus.rng.choice(names)].address
-    settings = attrs.evolve(old.controllers[0].settings, seeds=(seed,))
-    this = old.blackboard.this_member
-    services = sorted({target.service for target in old.announced_targets.values()})
-    wanted = [name for name in this.services if name not in services]
-    per_service = len(old.announced_targets) // len(services)
+    settings = attrs.evolve(old_node.controllers[0].settings, seeds=(seed,))
+    local_member = old_node.blackboard.this_member
+    services = sorted(
+        {target.service for target in old_node.announced_targets.values()}
+    )
+    requested = [name for name in local_member.services if name not in services]
+    per_service = len(old_node.announced_targets) // len(services)
     bus.add(
         daemon_id,
         settings,
         services,
-        wanted,
-        zone=this.availability_zone,
+        requested,
+        zone=local_member.availability_zone,
         targets_per_service=per_service,
     )
 
 
-def scale(load: Load, factor: float) -> Load:
+def scale_load(load: Load, factor: float) -> Load:
     """Return a load multiplied by a factor."""
     return Load(
         sent=Counter({k: v * factor for k, v in load.sent.items()}),
@@ -240,22 +250,22 @@
     )
 
 
-def count_missing(bus: MeasuredBus) -> tuple[int, int]:
-    """Return how many targets observed daemons lack, and how many they need."""
+def count_missing_targets(bus: MeasuredBus) -> tuple[int, int]:
+    """Return how many targets observed daemons don't know and how many they need."""
     missing = needed = 0
     targets = [
         t for node in bus.nodes.values() for t in node.announced_targets.values()
     ]
     for name in bus.observed:
         board = bus.nodes[name].blackboard
-        wanted = [t for t in targets if t.service in board.this_member.services]
-        needed += len(wanted)
-        missing += sum(t.target_id not in board.targets for t in wanted)
+        requested = [t for t in targets if t.service in board.this_member.services]
+        needed += len(requested)
+        missing += sum(t.target_id not in board.targets for t in requested)
     return missing, needed
 
 
-def count_lapses(bus: MeasuredBus) -> int:
-    """Return the leases of observed daemons that lapsed so far."""
+def count_lapsed_leases(bus: MeasuredBus) -> int:
+    """Return how many leases of targets have lapsed at observed daemons so far."""
     return sum(
         event.kind == "targets-lapsed"
         for name in bus.observed
@@ -263,16 +273,16 @@
     )
 
 
-class SilentQueue(DigestQueue):
-    """A queue that sends no digests unasked, so that all heartbeats are pulled."""
+class PullOnlyQueue(DigestQueue):
+    """A queue that pushes no digests, so that all heartbeats are pulled."""
 
     def add(self, daemon_id: str, services: frozenset[str]) -> None:
-        """Send nothing."""
+        """Queue nothing."""
 
 
-def pull_everything(bus: MeasuredBus) -> None:
+def make_fleet_pull_only(bus: MeasuredBus) -> None:
     """Make all daemons of a fleet pull heartbeats instead of pushing them."""
     for node in bus.nodes.values():
         controller = node.controllers[1]
         queue = controller.digests
-        controller.digests = SilentQueue(queue.settings, queue.interest, queue.rng)
+        controller.digests = PullOnlyQueue(queue.settings, queue.interest, queue.rng)
--- a/benchmarks/histories/fleet.py
+++ b/benchmarks/histories/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of real entries over fakes of network, gates and log service."""
+"""A small fleet of real entries with a fake network, gates and log service."""
 
 import asyncio
 import random
@@ -7,7 +7,7 @@
 
 import attrs
 
-from benchmarks.histories.checker import make_answer
+from benchmarks.histories.checker import build_answer
 from benchmarks.histories.history import Execution, RunHistory
 from benchmarks.histories.network import FakeLog, FakeNetwork, Faults
 from wagtailstep import exceptions
@@ -27,14 +27,14 @@
 from wagtailstep.utils.clock import LoopClock
 
 SERVICE = "contracts"
-SENDING = "x-sending"
+SENDING_HEADER = "x-sending"
 ADDRESS = "127.0.0.1:0"
 CONNECT_TIMEOUT_S = 0.1
 
 
 @attrs.define
-class WholeAnswer:
-    """An answer as a caller's HTTP client has it after reading it whole."""
+class CompleteAnswer:
+    """A response that a caller's HTTP client has read completely."""
 
     status: int
     headers: headers.Headers
@@ -42,27 +42,27 @@
 
 
 async def yield_bytes(data: bytes) -> Any:
-    """Yield a body in two chunks."""
+    """Yield a body in up to two chunks."""
     half = len(data) // 2
     for chunk in (data[:half], data[half:]):
         if chunk:
             yield chunk
 
 
-async def yield_truncated(data: bytes) -> Any:
-    """Yield half a body and fail."""
+async def yield_truncated_bytes(data: bytes) -> Any:
+    """Yield half of a body, then raise the error of a truncated response."""
     yield data[: len(data) // 2]
     raise exceptions.TruncatedAnswerError("the answer ended early")
 
 
-class SilentChannel:
-    """A control channel that nobody listens to."""
+class NullChannel:
+    """A control channel that drops all messages."""
 
     async def start(self, receive: Any) -> None:
-        """Receive nothing."""
+        """Do nothing; no message ever arrives."""
 
     async def close(self) -> None:
-        """Close nothing."""
+        """Do nothing; there is no connection."""
 
     def send(self, address: str, message: object) -> None:
         """Drop a message."""
@@ -70,7 +70,7 @@
 
 @attrs.define
 class LogClient:
-    """The log service as one daemon reaches it."""
+    """Access of one daemon to the fake log service."""
 
     daemon_id: str
     log: FakeLog
@@ -90,30 +90,34 @@
 
 
 class FakeDaemon:
-    """One daemon: a real entry with its controllers, and its gate as a fake."""
+    """A daemon with a real entry and its controllers, and a fake gate.
+
+    It is the forwarder and the relay of its entry, in place of the HTTP clients.
+    """
 
     def __init__(self, daemon_id: str, fleet: "FakeFleet") -> None:
         self.daemon_id = daemon_id
         self.fleet = fleet
         self.incarnation = 0
-        self.awake = asyncio.Event()
-        self.awake.set()
+        self.not_paused = asyncio.Event()
+        self.not_paused.set()
         self.tasks: set[asyncio.Task] = set()
 
     async def boot(self) -> None:
-        """Start with an empty memory."""
+        """Start, or restart without the state that was in memory."""
         self.incarnation += 1
-        # The seed stays the same: nothing may depend on fresh random numbers.
+        # Every start uses the same seed, as correctness must not depend on a restarted
+        # daemon drawing different random numbers.
         self.up = True
         settings = DaemonSettings(
             self.daemon_id, *["z", ADDRESS, ADDRESS, ADDRESS, ADDRESS]
         )
         settings = attrs.evolve(settings, log=LogSettings(poll_ms=50))
-        self.board = self.fleet.make_blackboard(self)
+        self.board = self.fleet.create_blackboard(self)
         rng = random.Random(f"{self.fleet.seed}/{self.daemon_id}")
         parts = (settings, self.board, LoopClock(), rng)
         log = LogClient(self.daemon_id, self.fleet.log)
-        self.runtime = Runtime(*parts, RuntimeAdapters(log, SilentChannel(), None))
+        self.runtime = Runtime(*parts, RuntimeAdapters(log, NullChannel(), None))
         self.routing = RoutingController(*parts)
         self.guard = DuplicateGuard(*parts)
         self.entry = EntryService(
@@ -130,7 +134,7 @@
         await self.runtime.start()
 
     def crash(self) -> None:
-        """Stop at once; nothing that is still done has an effect."""
+        """Stop at once; code that still runs has no effects any more."""
         self.up = False
         self.runtime.apply_all = lambda effects: None
         for task in [*self.tasks, *self.runtime.tasks]:
@@ -143,19 +147,19 @@
         task.add_done_callback(self.tasks.discard)
         return task
 
-    async def take(self, incoming: IncomingRequest) -> WholeAnswer:
-        """Handle a request and write its answer, as the HTTP server does.
+    async def handle(self, incoming: IncomingRequest) -> CompleteAnswer:
+        """Handle a request and read its response, as the HTTP server does.
 
-        :raises RequestError: if the transfer of the answer breaks.
+        :raises RequestError: if the transfer of the response fails.
         """
-        await self.awake.wait()
+        await self.not_paused.wait()
         answer = await self.entry.handle(incoming)
         try:
             body = b"".join([chunk async for chunk in answer.body])
         finally:
             await answer.close()
-        await self.awake.wait()
-        return WholeAnswer(answer.status, answer.headers, body)
+        await self.not_paused.wait()
+        return CompleteAnswer(answer.status, answer.headers, body)
 
     async def forward(
         self,
@@ -165,12 +169,12 @@
         incoming: IncomingRequest,
         time_left: timedelta,
     ) -> Answer:
-        """Send one attempt; the interface of the real HTTP client."""
-        await self.awake.wait()
+        """Send one attempt to a gate, with the interface of the real forwarder."""
+        await self.not_paused.wait()
         gate_daemon = self.fleet.daemons[gate.daemon_id]
         await self.fleet.connect(self.daemon_id, gate_daemon)
         body = b"".join([chunk async for chunk in incoming.body])
-        sending = int(find_header(incoming.headers, SENDING))
+        sending = int(find_header(incoming.headers, SENDING_HEADER))
         exchange = self.fleet.exchange_with_gate(
             self.daemon_id, gate_daemon, sending, body
         )
@@ -179,17 +183,17 @@
     async def relay(
         self, member: Member, incoming: IncomingRequest, time_left: timedelta
     ) -> Answer:
-        """Pass a request on; the interface of the real HTTP client."""
-        await self.awake.wait()
+        """Relay a request to another entry, with the interface of the real relay."""
+        await self.not_paused.wait()
         other = self.fleet.daemons[member.daemon_id]
         exchange = self.fleet.exchange_with_entry(self.daemon_id, other, incoming)
-        whole = await self.fleet.wait_for_reply(exchange, time_left)
-        verdict = Verdict(find_header(whole.headers, headers.VERDICT))
-        return Answer(whole.status, whole.headers, yield_bytes(whole.body), verdict)
+        answer = await self.fleet.wait_for_reply(exchange, time_left)
+        verdict = Verdict(find_header(answer.headers, headers.VERDICT))
+        return Answer(answer.status, answer.headers, yield_bytes(answer.body), verdict)
 
 
 class FakeFleet:
-    """Some daemons, each beside one backend server."""
+    """Daemons, each beside one backend server, and what connects them."""
 
     def __init__(self, seed: int, size: int, rows: dict[str, Any]) -> None:
         self.seed = seed
@@ -204,8 +208,8 @@
         ids = [f"d{number}" for number in range(1, size + 1)]
         self.daemons = {daemon_id: FakeDaemon(daemon_id, self) for daemon_id in ids}
 
-    def make_blackboard(self, daemon: FakeDaemon) -> Blackboard:
-        """Return what a daemon knows after it has found the others."""
+    def create_blackboard(self, daemon: FakeDaemon) -> Blackboard:
+        """Create the blackboard of a daemon that has found all members and targets."""
         members = {
             other.daemon_id: Member(
                 other.daemon_id, other.incarnation, ADDRESS, ADDRESS, "z"
@@ -221,28 +225,28 @@
         return board
 
     def spawn(self, coroutine: Any) -> asyncio.Task:
-        """Run a coroutine that no daemon's crash ends."""
+        """Run a coroutine that goes on when a daemon crashes."""
         task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
     async def connect(self, sender: str, daemon: FakeDaemon) -> None:
-        """Open a connection.
+        """Open a connection to a daemon.
 
-        :raises ConnectionFailedError: ``NOT_RUN`` if that fails.
+        :raises ConnectionFailedError: with ``NOT_RUN`` if the connection fails.
         """
-        there = await self.network.carry(sender, daemon.daemon_id)
-        back = await self.network.carry(daemon.daemon_id, sender)
-        if not (there and back):
+        request_arrived = await self.network.deliver(sender, daemon.daemon_id)
+        reply_arrived = await self.network.deliver(daemon.daemon_id, sender)
+        if not (request_arrived and reply_arrived):
             await asyncio.sleep(CONNECT_TIMEOUT_S)
-        if not (there and back and daemon.up):
+        if not (request_arrived and reply_arrived and daemon.up):
             raise exceptions.ConnectionFailedError("no connection", Verdict.NOT_RUN)
 
     async def wait_for_reply(self, exchange: Any, time_left: timedelta) -> Any:
-        """Wait for a reply; the other side goes on even if nobody waits.
+        """Wait for a reply; after a time-out the exchange still goes on.
 
-        :raises RequestError: ``MAY_HAVE_RUN`` if there is none in time.
+        :raises RequestError: with ``MAY_HAVE_RUN`` if there is no reply in time.
         """
         task = self.spawn(exchange)
         try:
@@ -253,72 +257,72 @@
                 "no reply", Verdict.MAY_HAVE_RUN
             ) from None
 
-    async def carry_or_hang(self, sender: str, receiver: str) -> None:
-        """Carry a message; if it is lost, its receiver waits in vain."""
-        if not await self.network.carry(sender, receiver):
+    async def deliver_or_hang(self, sender: str, receiver: str) -> None:
+        """Deliver a message; if it is lost, wait as long as a hung connection."""
+        if not await self.network.deliver(sender, receiver):
             await asyncio.sleep(3_600)
 
     async def exchange_with_entry(
         self, sender: str, daemon: FakeDaemon, incoming: IncomingRequest
-    ) -> WholeAnswer:
-        """Bring a request to a daemon's entry and the answer back."""
+    ) -> CompleteAnswer:
+        """Deliver a request to a daemon's entry and its response to the sender."""
         await self.connect(sender, daemon)
-        await self.carry_or_hang(sender, daemon.daemon_id)
-        taking = daemon.spawn(daemon.take(incoming))
-        await asyncio.wait([taking])
-        if taking.cancelled():
+        await self.deliver_or_hang(sender, daemon.daemon_id)
+        handling = daemon.spawn(daemon.handle(incoming))
+        await asyncio.wait([handling])
+        if handling.cancelled():
             raise exceptions.ConnectionFailedError("reset", Verdict.MAY_HAVE_RUN)
-        answer = taking.result()
-        await self.carry_or_hang(daemon.daemon_id, sender)
+        answer = handling.result()
+        await self.deliver_or_hang(daemon.daemon_id, sender)
         return answer
 
     async def exchange_with_gate(
         self, sender: str, daemon: FakeDaemon, sending: int, body: bytes
     ) -> Answer:
-        """Bring an attempt to a gate, run it there and bring the answer back."""
+        """Deliver an attempt to a gate, run it and deliver the response."""
         incarnation = daemon.incarnation
-        await self.carry_or_hang(sender, daemon.daemon_id)
-        await daemon.awake.wait()
+        await self.deliver_or_hang(sender, daemon.daemon_id)
+        await daemon.not_paused.wait()
         if not daemon.up or daemon.incarnation != incarnation:
             raise exceptions.ConnectionFailedError("reset", Verdict.MAY_HAVE_RUN)
-        if self.rng.random() < self.faults.refusal:
-            await self.carry_or_hang(daemon.daemon_id, sender)
-            raise self.make_refusal()
+        if self.rng.random() < self.faults.refusal_probability:
+            await self.deliver_or_hang(daemon.daemon_id, sender)
+            raise self.build_refusal_error()
         answer = await self.execute(daemon, sending, int(body))
         if not daemon.up or daemon.incarnation != incarnation:
             raise exceptions.ConnectionFailedError("reset", Verdict.MAY_HAVE_RUN)
-        await self.carry_or_hang(daemon.daemon_id, sender)
+        await self.deliver_or_hang(daemon.daemon_id, sender)
         return answer
 
-    def make_refusal(self) -> exceptions.RequestError:
-        """Return a gate's refusal of a request that it did not run."""
+    def build_refusal_error(self) -> exceptions.RequestError:
+        """Build a gate's error for a request that it refused without running it."""
         if self.rng.random() < 0.5:
             return exceptions.LeavingError("the backend server is leaving")
         return exceptions.OverloadedError("no free slot", timedelta(seconds=1))
 
     async def execute(self, daemon: FakeDaemon, sending: int, operation: int) -> Answer:
-        """Run a request on a backend server; it takes effect halfway.
+        """Run a request on a backend server; it takes effect halfway through.
 
-        :raises ConnectionFailedError: if the backend server crashes meanwhile.
+        :raises ConnectionFailedError: if the backend server crashes while it runs.
         """
         crashes = self.backend_crashes.get(daemon.daemon_id, 0)
-        for is_done in (False, True):
+        for has_run in (False, True):
             await asyncio.sleep(self.rng.uniform(0.001, 0.02))
             if self.backend_crashes.get(daemon.daemon_id, 0) != crashes:
                 raise exceptions.ConnectionFailedError("crash", Verdict.MAY_HAVE_RUN)
-            if not is_done:
+            if not has_run:
                 now = asyncio.get_running_loop().time()
                 self.history.executions.append(Execution(operation, sending, now))
-        text = make_answer(operation, sending).encode()
-        if self.rng.random() < self.faults.truncation:
-            return Answer(200, (), yield_truncated(text), Verdict.RUN)
+        text = build_answer(operation, sending).encode()
+        if self.rng.random() < self.faults.truncation_probability:
+            return Answer(200, (), yield_truncated_bytes(text), Verdict.RUN)
         return Answer(200, (), yield_bytes(text), Verdict.RUN)
 
     async def close(self) -> None:
-        """Stop all tasks."""
+        """Stop all daemons and tasks."""
         for daemon in self.daemons.values():
             daemon.crash()
-        tasks = [*self.tasks, *self.log.late]
+        tasks = [*self.tasks, *self.log.late_appends]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/benchmarks/requests_load.py
+++ b/benchmarks/requests_load.py
@@ -1,8 +1,8 @@
-"""Callers of the request benchmark, as a process of its own.
+"""Callers of the request benchmark, run as a process of their own.
 
 ``python -m benchmarks.requests_load SPEC RESULT`` reads a :class:`LoadSpec` as JSON,
-sends its requests to loopback, and writes a :class:`LoadResult`. Arrivals are drawn
-from the seed, so two systems can be given the same ones.
+sends its requests, and writes a JSON list of :class:`Outcome`. Arrivals depend only on
+the seed, so that two systems can get the same ones.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 from wagtailstep.network.http_connection import HttpRequest
 from wagtailstep.utils.clock import LoopClock
 
-UNREPEATABLE_SHARE = 0.3
+UNSAFE_FRACTION = 0.3
 WORK_SIGMA = 0.3
 MAX_IN_FLIGHT = 4_000
 SERVICE_NAME = "contracts"
@@ -30,19 +30,20 @@
 
 @attrs.frozen
 class LoadSpec:
-    """What one process of callers does.
+    """Load that one process of callers generates.
 
     :param name: prefix of all request keys.
     :param groups: groups of addresses, ``host:port`` each; requests go to the groups in
-        turns, and to a random address of the group.
-    :param rate: requests a second over all groups; 0 keeps ``concurrency`` requests
-        under way all the time.
-    :param concurrency: callers that send one request after another, if rate is 0.
+        turn, and to a random address of the group.
+    :param rate: requests per second over all groups (open loop); 0 for a closed loop of
+        ``concurrency`` callers.
+    :param concurrency: number of callers of a closed loop, each with one request in
+        flight.
     :param seconds: how long requests are sent.
-    :param warmup_s: requests sent before this time are not measured.
-    :param work_ms: mean time of a request at its backend server.
-    :param timeout_ms: time allowed to each request.
-    :param seed: seed of arrivals, work and choice of address.
+    :param warmup_s: requests due before this time are not measured.
+    :param work_ms: mean service time of a request at its backend server.
+    :param timeout_ms: deadline of each request.
+    :param seed: seed of arrivals, service times and choices of address.
     """
 
     name: str
@@ -58,23 +59,23 @@
 
 @attrs.define
 class Outcome:
-    """How one request ended, as its caller saw it.
+    """Outcome of one request, as its caller saw it.
 
     :param key: key of the request.
     :param group: index of the group of addresses.
-    :param repeatable: whether it was sent as idempotent.
-    :param status: HTTP status, or 0 if there was no whole answer.
-    :param verdict: verdict in the answer, or an empty string.
-    :param reason: reason of a failure, of a daemon's or of the caller's own client.
-    :param latency_ms: from the time it was due to its end.
-    :param wrong: whether the answer was another request's.
+    :param idempotent: whether it was sent as idempotent.
+    :param status: HTTP status; 0 without a complete response.
+    :param verdict: verdict in the response; empty without one.
+    :param reason: reason of a failure, from a daemon or from the caller's client.
+    :param latency_ms: time from when the request was due until it ended.
+    :param wrong: whether the response belongs to another request.
     :param measured: whether it was due after the warm-up.
-    :param ended_s: when it ended, from the start of the load.
+    :param ended_s: when it ended, in seconds from the start of the load.
     """
 
     key: str
     group: int
-    repeatable: bool
+    idempotent: bool
     status: int = 0
     verdict: str = ""
     reason: str = ""
@@ -96,45 +97,48 @@
         self.number = 0
 
     async def run(self) -> list[Outcome]:
-        """Send all requests and return how they ended."""
+        """Send all requests and return their outcomes."""
         self.started = asyncio.get_running_loop().time()
         if self.spec.rate:
-            await self.run_open()
+            await self.run_open_loop()
         else:
-            callers = [self.run_caller() for _ in range(self.spec.concurrency)]
+            callers = [self.run_closed_loop() for _ in range(self.spec.concurrency)]
             await asyncio.gather(*callers)
         if self.tasks:
             await asyncio.wait(set(self.tasks))
         self.client.close()
         return self.outcomes
 
-    async def run_open(self) -> None:
-        """Send at random times, whatever is still under way."""
+    async def run_open_loop(self) -> None:
+        """Send requests with Poisson arrivals, regardless of those in flight.
+
+        Above ``MAX_IN_FLIGHT`` requests are dropped.
+        """
         loop = asyncio.get_running_loop()
         due = self.started
         while due - self.started < self.spec.seconds:
             due += self.rng.expovariate(self.spec.rate)
-            request, outcome = self.make_request()
+            request, outcome = self.build_request()
             await asyncio.sleep(due - loop.time())
             if len(self.tasks) < MAX_IN_FLIGHT:
                 task = asyncio.create_task(self.send(request, outcome, due))
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
 
-    async def run_caller(self) -> None:
+    async def run_closed_loop(self) -> None:
         """Send one request after the other."""
         loop = asyncio.get_running_loop()
         while loop.time() - self.started < self.spec.seconds:
-            request, outcome = self.make_request()
+            request, outcome = self.build_request()
             await self.send(request, outcome, loop.time())
 
-    def make_request(self) -> tuple[HttpRequest, Outcome]:
-        """Draw the next request; the draws don't depend on earlier answers."""
+    def build_request(self) -> tuple[HttpRequest, Outcome]:
+        """Build the next random request, independent of earlier responses."""
         spec = self.spec
         group = self.number % len(spec.groups)
         self.number += 1
         key = f"{spec.name}-{self.number}"
-        repeatable = self.rng.random() >= UNREPEATABLE_SHARE
+        idempotent = self.rng.random() >= UNSAFE_FRACTION
         work_ms = spec.work_ms * self.rng.lognormvariate(
             -WORK_SIGMA * WORK_SIGMA / 2, WORK_SIGMA
         )
@@ -147,17 +151,17 @@
         )
         request = HttpRequest(
             address=address,
-            method="GET" if repeatable else "POST",
-            path="/lookup/1" if repeatable else "/sign/1",
-            headers=headers if repeatable else (*headers, ("content-length", "2")),
-            body=None if repeatable else yield_body(),
-            idempotent=repeatable,
+            method="GET" if idempotent else "POST",
+            path="/lookup/1" if idempotent else "/sign/1",
+            headers=headers if idempotent else (*headers, ("content-length", "2")),
+            body=None if idempotent else yield_body(),
+            idempotent=idempotent,
             time_left=timedelta(milliseconds=spec.timeout_ms + 200),
         )
-        return request, Outcome(key, group, repeatable)
+        return request, Outcome(key, group, idempotent)
 
     async def send(self, request: HttpRequest, outcome: Outcome, due: float) -> None:
-        """Send one request and note how it ended."""
+        """Send one request and record its outcome."""
         loop = asyncio.get_running_loop()
         try:
             answer = await self.client.send(request)
@@ -165,8 +169,8 @@
             await answer.close()
             outcome.status = answer.status
             outcome.verdict = find_header(answer.headers, VERDICT) or ""
-            is_own = data == f"{outcome.key}\n".encode()
-            outcome.wrong = answer.status == 200 and not is_own
+            is_expected_answer = data == f"{outcome.key}\n".encode()
+            outcome.wrong = answer.status == 200 and not is_expected_answer
             outcome.reason = find_header(answer.headers, REASON) or ""
         except RequestError as error:
             outcome.reason = f"{error.reason} ({error.verdict.value})"
@@ -177,12 +181,12 @@
 
 
 async def yield_body() -> AsyncIterator[bytes]:
-    """Yield the small body of an unrepeatable request."""
+    """Yield the small body of a non-idempotent request."""
     yield b"{}"
 
 
 def main(spec_path: str, result_path: str) -> None:
-    """Run one specification."""
+    """Run one specification and write the outcomes."""
     spec = msgspec.json.decode(pathlib.Path(spec_path).read_bytes(), type=LoadSpec)
     outcomes = asyncio.run(Load(spec).run())
     pathlib.Path(result_path).write_bytes(msgspec.json.encode(outcomes))
--- a/benchmarks/soak/callers.py
+++ b/benchmarks/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak, and what they were told."""
+"""Callers of the soak test and the outcomes of their requests."""
 
 import asyncio
 import math
@@ -20,61 +20,65 @@
 
 TIMEOUT_MS = 5_000
 WORK_MS = 100
-UNSAFE_SHARE = 0.5
+UNSAFE_FRACTION = 0.5
 NO_ANSWER = 0
 
 
 @attrs.frozen
-class Told:
-    """What a caller was told of one request.
-
-    :param at_s: when it was sent, in seconds since the loop began.
-    :param status: HTTP status; 0 if there was no whole answer.
-    :param is_own: whether the body is the answer to this request.
-    :param cut: whether the exchange ended after the request was sent.
-    :param took_s: seconds until its end.
+class AttemptEnded:
+    """Outcome of one request for its caller.
+
+    :param key: identifier of the request.
+    :param unsafe: whether the request must not run twice.
+    :param at_s: when it was sent, in seconds of the event loop's time.
+    :param status: HTTP status; ``NO_ANSWER`` without a complete response.
+    :param is_expected_answer: whether the body is the response to this request.
+    :param interrupted: whether the exchange failed when the request may have run.
+    :param took_s: seconds until the response or failure.
     """
 
     key: str
     unsafe: bool
     at_s: float
     status: int
-    is_own: bool
-    cut: bool = False
+    is_expected_answer: bool
+    interrupted: bool = False
     took_s: float = 0.0
 
 
-class Callers:
-    """Send requests to daemons at random.
+class CallerGroup:
+    """Send requests to random daemons of a fleet.
 
-    :param fleet: whose daemons are asked.
-    :param rate_per_s: requests a second.
-    :param rng: draws arrivals, kinds and daemons.
+    :param fleet: fleet whose daemons get the requests.
+    :param rate_per_s: mean number of requests a second.
+    :param rng: source of arrival times, request types and daemons.
     """
 
     def __init__(self, fleet: SoakFleet, rate_per_s: float, rng: random.Random) -> None:
         self.fleet = fleet
         self.rate_per_s = rate_per_s
         self.rng = rng
-        self.asked = 0
-        self.told: list[Told] = []
-        # Time of the loop.
+        self.sent_count = 0
+        self.outcomes: list[AttemptEnded] = []
+        # In seconds of the event loop's time.
         self.stop_at = math.inf
 
     async def run(self) -> None:
-        """Send until ``stop_at`` and wait for the last answer."""
+        """Send requests until ``stop_at``, then wait until all have ended."""
         self.client = HttpClient(RequestSettings(), LoopClock())
         loop = asyncio.get_running_loop()
         async with asyncio.TaskGroup() as group:
             while loop.time() < self.stop_at:
                 await asyncio.sleep(self.rng.expovariate(self.rate_per_s))
                 host = self.rng.choice(self.fleet.hosts).name
-                unsafe = self.rng.random() < UNSAFE_SHARE
-                self.asked += 1
-                group.create_task(self.ask(f"k{self.asked}", host, unsafe))
-
-    async def ask(self, key: str, host: str, unsafe: bool) -> None:
-        """Send one request and note what its caller is told."""
+                unsafe = self.rng.random() < UNSAFE_FRACTION
+                self.sent_count += 1
+                group.create_task(
+                    self.send_request(f"k{self.sent_count}", host, unsafe)
+                )
+
+    async def send_request(self, key: str, host: str, unsafe: bool) -> None:
+        """Send one request and record its outcome."""
         loop = asyncio.get_running_loop()
         at_s = loop.time()
         headers = (
@@ -92,17 +96,21 @@
             idempotent=not unsafe,
             time_left=timedelta(milliseconds=TIMEOUT_MS + 500),
         )
-        status, is_own, cut = NO_ANSWER, True, False
+        status, is_expected_answer, interrupted = NO_ANSWER, True, False
         try:
             answer = await self.client.send(request)
             data = await read_complete_body(answer)
-            status, is_own = answer.status, data == f"{key}\n".encode()
+            status, is_expected_answer = answer.status, data == f"{key}\n".encode()
         except RequestError as error:
-            cut = error.verdict is not Verdict.NOT_RUN
+            interrupted = error.verdict is not Verdict.NOT_RUN
         took_s = loop.time() - at_s
-        self.told.append(Told(key, unsafe, at_s, status, is_own, cut, took_s))
+        self.outcomes.append(
+            AttemptEnded(
+                key, unsafe, at_s, status, is_expected_answer, interrupted, took_s
+            )
+        )
 
 
-def start_callers(callers: Callers) -> "asyncio.Task[None]":
-    """Run the callers on a host of their own."""
+def start_callers(callers: CallerGroup) -> "asyncio.Task[None]":
+    """Run the callers on a simulated host of their own."""
     return detangle.spawn(callers.run(), host="callers")
--- a/benchmarks/soak/fleet.py
+++ b/benchmarks/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Real daemons of the platform, each on a host with its backend server."""
+"""Real platform daemons on simulated hosts, each beside a fake backend server."""
 
 import asyncio
 import random
@@ -31,15 +31,15 @@
 SERVICE = "contracts"
 ROUTE_HOST = "book.example"
 ZONES = ("bole", "piassa", "kirkos")
-BEAT_S = 1.5
-BEAT_TIMEOUT = timedelta(seconds=1)
-NOTICE_MS = 1_000
+HEARTBEAT_INTERVAL_S = 1.5
+HEARTBEAT_TIMEOUT = timedelta(seconds=1)
+SHUTDOWN_NOTICE_MS = 1_000
 SHUTDOWN_MS = 4_000
-MAX_STARTS = 1_000
+MAX_STARTS_PER_HOST = 1_000
 
 
-def make_configuration(version: int) -> bytes:
-    """Return the operator's record of a version."""
+def build_configuration(version: int) -> bytes:
+    """Build a configuration record as an operator writes it to the store."""
     columns = "name host path-prefix kind timeout aim priority service max-attempts"
     rows = [
         ["lookup", ROUTE_HOST, "/lookup/", "safe", "4000ms", "800ms", 2, SERVICE, 3],
@@ -56,7 +56,7 @@
 
 
 class SoakClock(LoopClock):
-    """The clock of the loop, with a time of day that follows it."""
+    """The event loop's clock, with a time of day that follows virtual time."""
 
     start = datetime(2026, 1, 1, tzinfo=UTC)
 
@@ -66,14 +66,17 @@
 
 
 class SoakDaemon(PlatformDaemon):
-    """A daemon whose control channel is in memory, as time is virtual."""
+    """A platform daemon whose control channel is in memory.
+
+    ZeroMQ sockets would run in real time, not in the simulation's virtual time.
+    """
 
     def __init__(self, settings: PlatformSettings, network: MemoryNetwork) -> None:
         self.network = network
         super().__init__(settings, SoakClock())
 
     def create_channel(self) -> InMemoryPeerChannel:
-        """Return a channel of the network in memory."""
+        """Create a control channel on the in-memory network."""
         return InMemoryPeerChannel(
             self.network, self.settings.daemon_id, self.settings.peer_address
         )
@@ -81,11 +84,12 @@
 
 @attrs.define
 class Host:
-    """One machine: a daemon and its backend server.
+    """A simulated host with a daemon and a backend server.
 
-    :param number: tells it from the others.
-    :param daemon: the daemon that runs; ``None`` while the power is off.
-    :param backend: the backend server that runs.
+    :param number: unique number of the host.
+    :param zone: its availability zone.
+    :param daemon: the running daemon; ``None`` while the power is off.
+    :param backend: the running backend server; ``None`` while the power is off.
     :param starts: how often its daemon was started.
     """
 
@@ -97,15 +101,15 @@
 
     @property
     def name(self) -> str:
-        """Return the name of the machine and its daemon."""
+        """Return the name of the host, which is also its daemon's identifier."""
         return f"d{self.number}"
 
 
 class SoakFleet:
-    """Hosts, the store, and what can happen to them.
+    """Hosts and a store, with operations that inject faults.
 
     :param size: number of hosts.
-    :param rng: draws losses of control messages.
+    :param rng: source of random losses of control messages.
     """
 
     def __init__(self, size: int, rng: random.Random) -> None:
@@ -128,33 +132,33 @@
     def publish(self) -> None:
         """Write the next version of the configuration."""
         self.version += 1
-        record = make_configuration(self.version)
+        record = build_configuration(self.version)
         self.store.put("keyed.op", "config", record)
 
     def power_on(self, host: Host) -> None:
-        """Start the processes of a host."""
+        """Start the backend server and the daemon of a host."""
         detangle.spawn(self.run_backend(host), host=host.name)
         detangle.spawn(self.run_daemon(host), host=host.name)
 
     def power_off(self, host: Host) -> None:
-        """Cut the power of a host: its connections fall silent."""
+        """Power off a host; its connections become unresponsive, they don't close."""
         self.network.receivers.pop(f"{host.name}:8005", None)
         detangle.network().crash(host.name)
         host.daemon = host.backend = None
 
     async def restore_power(self, host: Host) -> None:
-        """Start a host again."""
+        """Power on a host again and start its processes."""
         detangle.network().restart(host.name)
         self.power_on(host)
 
     async def run_daemon(self, host: Host) -> None:
         """Run a daemon until its host loses power."""
         host.starts += 1
-        host.daemon = SoakDaemon(make_settings(host), self.network)
+        host.daemon = SoakDaemon(build_settings(host), self.network)
         await host.daemon.start()
 
     async def restart_daemon(self, host: Host) -> None:
-        """Have a daemon shut down as after SIGTERM, and start the next one."""
+        """Shut a daemon down gracefully, as SIGTERM does, and start a new one."""
         daemon = host.daemon
         if daemon is None:
             return
@@ -165,7 +169,7 @@
 
         restarting = detangle.spawn(shut_down_and_start(), host=host.name)
         await asyncio.wait({restarting})
-        # Its host may lose power meanwhile.
+        # The task is cancelled if the host loses power during the restart.
         if not restarting.cancelled():
             restarting.result()
 
@@ -182,14 +186,14 @@
         sequence = 0
         while True:
             sequence += 1
-            await self.beat(client, host, born, sequence)
-            await asyncio.sleep(BEAT_S)
+            await self.send_heartbeat(client, host, born, sequence)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    async def beat(
+    async def send_heartbeat(
         self, client: HttpClient, host: Host, born: int, sequence: int
     ) -> None:
         """Send one heartbeat."""
-        beat = {
+        heartbeat = {
             "service": SERVICE,
             "address": f"{host.name}:9000",
             "slots": 4,
@@ -197,7 +201,7 @@
             "sequence": sequence,
             "born": born,
         }
-        data = msgspec.json.encode(beat)
+        data = msgspec.json.encode(heartbeat)
         request = HttpRequest(
             address=f"{host.name}:8004",
             method="PUT",
@@ -205,21 +209,21 @@
             headers=(("host", host.name), ("content-length", str(len(data)))),
             body=yield_body(data),
             idempotent=True,
-            time_left=BEAT_TIMEOUT,
+            time_left=HEARTBEAT_TIMEOUT,
         )
         try:
             await read_complete_body(await client.send(request))
         except RequestError:
-            # The daemon is down; the next heartbeat tells again.
+            # The daemon is down; the next heartbeat will register the server again.
             pass
 
     def set_faults(self, host: Host, faults: Faults) -> None:
-        """Have the backend server of a host fail in some way."""
+        """Set the faults of the backend server of a host, if it runs."""
         if host.backend is not None:
             host.backend.faults = faults
 
-    def cut_off(self, host: Host) -> None:
-        """Cut a host off from all other hosts, but not from callers and the store."""
+    def partition(self, host: Host) -> None:
+        """Partition a host from all other hosts, but not from callers and the store."""
         for other in self.hosts:
             if other is not host:
                 detangle.network().disconnect(host.name, other.name)
@@ -227,20 +231,20 @@
                 self.network.rules.block([other.name], [host.name])
 
     def heal(self) -> None:
-        """Mend all links."""
+        """Restore all links."""
         detangle.network().heal()
         self.network.rules.blocked_links.clear()
 
     def count_runs(self) -> Counter[str]:
-        """Return how often each request began to run, over all backend servers."""
+        """Return how often each request started to run, over all backend servers."""
         runs: Counter[str] = Counter()
         for backend in self.backends:
             runs.update(backend.counts.started)
         return runs
 
 
-def make_settings(host: Host) -> PlatformSettings:
-    """Return the settings of a host's daemon, as the platform would render them."""
+def build_settings(host: Host) -> PlatformSettings:
+    """Build the settings of a host's daemon, as the platform's templates do."""
     name = host.name
     daemon = DaemonSettings(
         daemon_id=name,
@@ -250,10 +254,11 @@
         peer_address=f"{name}:8005",
         announce_address=f"{name}:8004",
         service=SERVICE,
-        # Identifiers of requests are drawn from it, so no two daemons may share one.
-        seed=host.number * MAX_STARTS + host.starts,
+        # Request identifiers are generated from the seed, so each start of each daemon
+        # needs a seed of its own.
+        seed=host.number * MAX_STARTS_PER_HOST + host.starts,
         shutdown_ms=SHUTDOWN_MS,
-        shutdown_notice_ms=NOTICE_MS,
+        shutdown_notice_ms=SHUTDOWN_NOTICE_MS,
         requests=RequestSettings(
             trust_slots=True,
             connect_timeout_ms=300,
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -1,8 +1,7 @@
-"""Measure the memory of daemons that carry large bodies.
+"""Measure the memory of daemons that forward large bodies.
 
-A 1 GiB upload and a slow reader of a large answer cross an entry and another
-daemon's gate. ``python -m benchmarks.streams --seed=1`` writes
-``docs/measurements/streams.md``.
+A 1 GiB upload and a large response to a slow reader pass an entry and another daemon's
+gate. ``python -m benchmarks.streams --seed=1`` writes ``docs/measurements/streams.md``.
 """
 
 import asyncio
@@ -24,7 +23,7 @@
 from wagtailstep.models.headers import SERVICE, TIMEOUT_MS
 from wagtailstep.network.http_connection import HttpRequest
 
-REPORT = pathlib.Path("docs/measurements/streams.md")
+REPORT_PATH = pathlib.Path("docs/measurements/streams.md")
 MIB = 1_048_576
 UPLOAD_MIB = 1_024
 ANSWER_MIB = 256
@@ -38,10 +37,10 @@
 class Step:
     """Peak memory of both daemons after one step.
 
-    :param name: what was done.
-    :param entry_mb: most resident memory of the entry's daemon so far.
-    :param gate_mb: most resident memory of the gate's daemon so far.
-    :param seconds: how long the step took.
+    :param name: name of the step.
+    :param entry_mb: peak resident memory of the entry's daemon so far.
+    :param gate_mb: peak resident memory of the gate's daemon so far.
+    :param seconds: duration of the step.
     """
 
     name: str
@@ -50,19 +49,19 @@
     seconds: float
 
 
-async def make_upload(digest: xxhash.xxh64) -> AsyncIterator[bytes]:
-    """Yield the upload; each chunk differs from the one before."""
+async def generate_upload(digest: xxhash.xxh64) -> AsyncIterator[bytes]:
+    """Yield the chunks of the upload, each with different content."""
     for number in range(UPLOAD_MIB * 16):
         chunk = number.to_bytes(8, "big") * (MIB // 16 // 8)
         digest.update(chunk)
         yield chunk
 
 
-def make_request(
+def build_request(
     address: str, *headers: tuple[str, str], **changes: Any
 ) -> HttpRequest:
-    """Return a request that is given enough time."""
-    values = {
+    """Build a request with a deadline that is long enough for large bodies."""
+    arguments = {
         "address": address,
         "method": "GET",
         "path": "/lookup/large",
@@ -70,22 +69,24 @@
         "idempotent": True,
         "time_left": timedelta(seconds=TIMEOUT_S),
     }
-    own = ((SERVICE, SERVICE_NAME), (TIMEOUT_MS, str(TIMEOUT_S * 1_000)))
-    return HttpRequest(headers=(*own, *headers), **{**values, **changes})
+    required_headers = ((SERVICE, SERVICE_NAME), (TIMEOUT_MS, str(TIMEOUT_S * 1_000)))
+    return HttpRequest(
+        headers=(*required_headers, *headers), **{**arguments, **changes}
+    )
 
 
 async def upload(fleet: Fleet, address: str) -> None:
-    """Send the upload and compare what arrived.
+    """Send the upload and compare its digest with the backend server's.
 
-    :raises RuntimeError: if it did not arrive whole.
+    :raises RuntimeError: if it did not arrive unchanged.
     """
     digest = xxhash.xxh64()
-    request = make_request(
+    request = build_request(
         address,
         ("content-length", str(UPLOAD_MIB * MIB)),
         method="POST",
         path="/upload",
-        body=make_upload(digest),
+        body=generate_upload(digest),
         idempotent=False,
     )
     answer = await fleet.client.send(request)
@@ -93,16 +94,16 @@
         pass
     headers = dict(answer.headers)
     if headers.get("fake-body-digest") != digest.hexdigest():
-        raise RuntimeError(f"the upload did not arrive whole: {headers}")
+        raise RuntimeError(f"upload arrived incomplete or changed: {headers}")
 
 
 async def read_slowly(fleet: Fleet, address: str) -> None:
-    """Read a large answer, slowly at first.
+    """Read a large response, the first chunks slowly.
 
-    :raises RuntimeError: if it did not arrive whole.
+    :raises RuntimeError: if it is incomplete.
     """
     size = ANSWER_MIB * MIB
-    request = make_request(address, ("fake-answer-bytes", str(size)))
+    request = build_request(address, ("fake-answer-bytes", str(size)))
     answer = await fleet.client.send(request)
     received = 0
     reads = 0
@@ -112,11 +113,11 @@
         if reads < SLOW_READS:
             await asyncio.sleep(SLOW_READ_PAUSE_S)
     if received < size:
-        raise RuntimeError(f"only {received} of {size} bytes arrived")
+        raise RuntimeError(f"response truncated: got {received} of {size} bytes")
 
 
 async def measure(seed: int) -> list[Step]:
-    """Run both streams and return the peak memory after each."""
+    """Run the upload and the slow read; return the peak memory after each step."""
     loop = asyncio.get_running_loop()
     steps = []
     with tempfile.TemporaryDirectory() as name:
@@ -126,17 +127,17 @@
             by_name = {program.name: program for program in fleet.programs}
             gate, entry = [by_name[d.daemon_id] for d in fleet.daemons]
             address = fleet.entries[1]
-            steps.append(note("start", entry, gate, 0.0))
-            for text, work in (("upload", upload), ("slow reader", read_slowly)):
+            steps.append(record_step("start", entry, gate, 0.0))
+            for text, run_stream in (("upload", upload), ("slow reader", read_slowly)):
                 started = loop.time()
-                await work(fleet, address)
-                steps.append(note(text, entry, gate, loop.time() - started))
+                await run_stream(fleet, address)
+                steps.append(record_step(text, entry, gate, loop.time() - started))
         finally:
             await fleet.stop()
     return steps
 
 
-def note(name: str, entry: Program, gate: Program, seconds: float) -> Step:
+def record_step(name: str, entry: Program, gate: Program, seconds: float) -> Step:
     """Return and print the peak memory after a step."""
     step = Step(name, entry.peak_memory_mb(), gate.peak_memory_mb(), seconds)
     print(attrs.asdict(step), flush=True)
@@ -157,10 +158,10 @@
         "",
         f"- machine: {platform.machine()}, {os.cpu_count()} cores, Python "
         f"{platform.python_version()}; seed {seed}, commit {commit}",
-        f"- upload of {UPLOAD_MIB} MiB, then an answer of {ANSWER_MIB} MiB whose "
+        f"- upload of {UPLOAD_MIB} MiB, then a response of {ANSWER_MIB} MiB whose "
         f"first {SLOW_READS} chunks are read {SLOW_READ_PAUSE_S * 1000:g} ms apart",
-        f"- peak resident memory of whole daemons; the budget is {MEMORY_BUDGET_MB} MB "
-        "for control",
+        "- peak resident memory of each daemon process; the budget is "
+        f"{MEMORY_BUDGET_MB} MB for control",
         "",
         "| after | entry MB | gate MB | seconds |",
         "|---|---|---|---|",
@@ -169,8 +170,8 @@
             for s in steps
         ),
     ]
-    REPORT.parent.mkdir(parents=True, exist_ok=True)
-    REPORT.write_text("\n".join(lines) + "\n")
+    REPORT_PATH.parent.mkdir(parents=True, exist_ok=True)
+    REPORT_PATH.write_text("\n".join(lines) + "\n")
     first, last = steps[0], steps[-1]
     print(
         f"entry_growth_mb={last.entry_mb - first.entry_mb:.1f} "
--- a/examples/demo_fleet.py
+++ b/examples/demo_fleet.py
@@ -1,7 +1,7 @@
-"""The layout of the demo: both users' fleets on loopback.
+"""Plan the fleets of the demo on loopback, one for each user of the program.
 
-Writes the settings file of each daemon and a plan that the shell reads. It starts
-nothing.
+Writes the settings file of each daemon, the process lists that ``demo.sh`` reads and
+the plan that ``demo_run.py`` reads. Starts no process.
 """
 
 import json
@@ -18,16 +18,16 @@
     MembershipSettings,
 )
 
-SEED_COUNT = 3
+MEMBERSHIP_SEED_COUNT = 3
 
 
 @attrs.frozen
 class User:
-    """One user of the demo and its services.
+    """An organisation that runs a fleet in the demo.
 
-    :param name: name of the user.
+    :param name: name of the organisation.
     :param zones: its availability zones.
-    :param services: number of backend servers by service.
+    :param services: number of backend servers by service name.
     """
 
     name: str
@@ -46,8 +46,8 @@
 
 
 @attrs.frozen
-class Place:
-    """One instance: a backend server and the daemon beside it.
+class Instance:
+    """An instance: one backend server and the daemon beside it.
 
     :param service: service of the backend server.
     :param backend_address: ``host:port`` of the backend server.
@@ -61,27 +61,27 @@
 
 @attrs.frozen
 class Fleet:
-    """All processes of one user.
+    """All processes of one user's fleet.
 
-    :param user: whose fleet it is.
-    :param log_address: ``host:port`` of its log-service stand-in.
-    :param places: its instances.
+    :param user: owner of the fleet.
+    :param log_address: ``host:port`` of its simulated log service.
+    :param instances: its instances.
     """
 
     user: User
     log_address: str
-    places: tuple[Place, ...]
+    instances: tuple[Instance, ...]
 
 
 def plan_fleet(user: User, ports: PortPicker, seed: int) -> Fleet:
-    """Give every process of a user its addresses."""
+    """Assign free addresses to all processes of a user's fleet."""
     log_address = ports.pick()
     count = sum(user.services.values())
     peers = [ports.pick() for _ in range(count)]
-    places = []
+    instances = []
     for service, size in user.services.items():
         for number in range(1, size + 1):
-            index = len(places)
+            index = len(instances)
             settings = DaemonSettings(
                 daemon_id=f"{service}-{number}",
                 availability_zone=user.zones[index % len(user.zones)],
@@ -90,46 +90,48 @@
                 peer_address=peers[index],
                 announce_address=ports.pick(),
                 seed=seed * 1_000 + index,
-                membership=MembershipSettings(seeds=tuple(peers[:SEED_COUNT])),
+                membership=MembershipSettings(
+                    seeds=tuple(peers[:MEMBERSHIP_SEED_COUNT])
+                ),
                 log=LogSettings(address=log_address),
             )
-            places.append(Place(service, ports.pick(), settings))
-    return Fleet(user, log_address, tuple(places))
+            instances.append(Instance(service, ports.pick(), settings))
+    return Fleet(user, log_address, tuple(instances))
 
 
-def plan_all(seed: int) -> list[Fleet]:
-    """Plan the fleets of all users on free ports."""
+def plan_fleets(seed: int) -> list[Fleet]:
+    """Plan the fleets of all users, all on different free ports."""
     ports = PortPicker()
     fleets = [plan_fleet(user, ports, seed) for user in USERS]
     ports.release()
     return fleets
 
 
-def make_backend_settings(place: Place, index: int) -> BackendServerSettings:
-    """Return the settings of the backend server stand-in of an instance."""
+def build_backend_settings(instance: Instance, index: int) -> BackendServerSettings:
+    """Build the settings of the simulated backend server of an instance."""
     return BackendServerSettings(
-        service=place.service,
-        address=place.backend_address,
-        announce_address=place.settings.announce_address,
+        service=instance.service,
+        address=instance.backend_address,
+        announce_address=instance.settings.announce_address,
         seed=index,
     )
 
 
 def write_plan(fleets: list[Fleet], folder: pathlib.Path) -> None:
-    """Write settings files, the process lists for the shell and the plan as JSON."""
+    """Write the settings files, the process lists and the plan as JSON."""
     folder.mkdir(parents=True, exist_ok=True)
     for fleet in fleets:
-        for place in fleet.places:
-            path = folder / f"{place.settings.daemon_id}.json"
-            path.write_text(json.dumps(attrs.asdict(place.settings), indent=1))
+        for instance in fleet.instances:
+            path = folder / f"{instance.settings.daemon_id}.json"
+            path.write_text(json.dumps(attrs.asdict(instance.settings), indent=1))
     logs = [fleet.log_address for fleet in fleets]
     (folder / "logs").write_text("\n".join(logs) + "\n")
-    daemons = [p.settings.daemon_id for f in fleets for p in f.places]
+    daemons = [p.settings.daemon_id for f in fleets for p in f.instances]
     (folder / "daemons").write_text("\n".join(daemons) + "\n")
     for fleet in fleets:
         servers = [
-            attrs.asdict(make_backend_settings(place, index))
-            for index, place in enumerate(fleet.places)
+            attrs.asdict(build_backend_settings(instance, index))
+            for index, instance in enumerate(fleet.instances)
         ]
         path = folder / f"{fleet.user.name}.backends.json"
         path.write_text(json.dumps(servers, indent=1))
@@ -138,4 +140,4 @@
 
 
 if __name__ == "__main__":
-    write_plan(plan_all(int(sys.argv[1])), pathlib.Path(sys.argv[2]))
+    write_plan(plan_fleets(int(sys.argv[1])), pathlib.Path(sys.argv[2]))
