--- a/features/check_imports.py
+++ b/features/check_imports.py
@@ -1,4 +1,4 @@
-"""Import every module of the product, the measurements and the demo."""
+"""Check that every module of the program, the benchmarks and the demo imports."""
 
 import importlib
 import pathlib
--- a/features/check_layers.py
+++ b/features/check_layers.py
@@ -1,4 +1,4 @@
-"""Check the layers: who may import whom, and how long a module may be."""
+"""Check which layers may import which, and the length of each module."""
 
 import ast
 import pathlib
@@ -15,15 +15,15 @@
     "fakes": {"commands", "cli"},
     "cli": set(),
 }
-# Names of the users' platform; only its adapter may know them.
+# Names of the platform's interface; only its adapter may contain them.
 ADAPTER = "platform"
-ADAPTER_LINES = 800
+MAX_ADAPTER_LINES = 800
 PLATFORM_NAMES = ("keyed.op", "log-append", "log-read", "log-newest", "warmup-left")
 IO_MODULES = {"asyncio", "socket", "zmq", "blacksheep", "uvicorn", "h11", "time"}
 
 
 def imported_modules(tree):
-    """Yield the absolute names of all modules that a tree imports."""
+    """Yield the absolute names of all modules that a syntax tree imports."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -33,42 +33,44 @@
 
 
 def check_module(path):
-    """Return the faults of one module, as lines of text."""
+    """Return the violations found in one module, as lines of text."""
     layer = path.relative_to(PACKAGE).parts[0]
     text = path.read_text()
-    faults = []
+    violations = []
     if text.count("\n") > MAX_LINES:
-        faults.append(f"{path}: longer than {MAX_LINES} lines")
+        violations.append(f"{path}: longer than {MAX_LINES} lines")
     if layer != ADAPTER:
-        faults += [f"{path}: knows {n!r}" for n in PLATFORM_NAMES if n in text]
+        violations += [f"{path}: knows {n!r}" for n in PLATFORM_NAMES if n in text]
     for name in set(imported_modules(ast.parse(text))):
         parts = name.split(".")
         if layer != ADAPTER and parts[:2] == ["wagtailstep", ADAPTER]:
-            faults.append(f"{path}: only the platform's program imports {name}")
+            violations.append(f"{path}: only the platform's program imports {name}")
         if parts[0] == "wagtailstep" and len(parts) > 1:
             if parts[1] in FORBIDDEN.get(layer, set()):
-                faults.append(f"{path}: {layer} may not import {name}")
+                violations.append(f"{path}: {layer} may not import {name}")
         if layer in ("controllers", "models") and parts[0] in IO_MODULES:
-            faults.append(f"{path}: {layer} may not import {name}")
-    return faults
+            violations.append(f"{path}: {layer} may not import {name}")
+    return violations
 
 
 def main():
-    """Print all faults and return the exit code."""
-    faults = []
+    """Print all violations and return the exit code."""
+    violations = []
     for path in sorted(PACKAGE.rglob("*.py")):
-        faults.extend(check_module(path))
-    # The stand-in for tests translates nothing.
+        violations.extend(check_module(path))
+    # The stand-in is a test double and not part of the adapter.
     lines = sum(
         path.read_text().count("\n")
         for path in (PACKAGE / ADAPTER).glob("*.py")
         if path.name != "stand_in.py"
     )
-    if lines > ADAPTER_LINES:
-        faults.append(f"{PACKAGE / ADAPTER}: {lines} lines, {ADAPTER_LINES} allowed")
-    for fault in faults:
-        print(fault)
-    return 1 if faults else 0
+    if lines > MAX_ADAPTER_LINES:
+        violations.append(
+            f"{PACKAGE / ADAPTER}: {lines} lines, {MAX_ADAPTER_LINES} allowed"
+        )
+    for violation in violations:
+        print(violation)
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/features/run_tests.py
+++ b/features/run_tests.py
@@ -1,7 +1,7 @@
-"""Run formatter, linter, layer check and behave, and print one verdict line.
+"""Run formatter, linter, layer and import checks and behave; print a summary.
 
-Known faults listed in ``KNOWN-RED.txt`` are run and printed but do not fail the
-run. A line of that file that names a scenario which passes is reported as fixed.
+Scenarios listed in ``KNOWN-RED.txt`` are run, and their failures are printed but do
+not fail the run. A listed scenario that passes is reported as fixed.
 """
 
 import json
@@ -16,7 +16,7 @@
 
 
 def run_checks():
-    """Run the formatter, the linter and the layer check.
+    """Run the formatter, the linter, the layer check and the import check.
 
     :return: a list of (name, passed) pairs.
     """
@@ -37,7 +37,8 @@
 def run_behave():
     """Run all features.
 
-    :return: a list of (scenario, passed) pairs; an empty list is a failure.
+    :return: a list of (scenario, passed) pairs; a failed entry "behave" if there is no
+        report.
     """
     with tempfile.TemporaryDirectory() as folder:
         report = pathlib.Path(folder, "report.json")
@@ -57,7 +58,7 @@
 
 
 def read_report(report):
-    """Read the scenarios' verdicts from behave's JSON report."""
+    """Read from behave's JSON report which scenarios passed."""
     results = []
     for feature in json.loads(report.read_text() or "[]"):
         for element in feature.get("elements", []):
@@ -69,7 +70,7 @@
 
 
 def read_known_red():
-    """Read the names of scenarios listed as known faults."""
+    """Read the names of scenarios that are known to fail."""
     path = ROOT / "KNOWN-RED.txt"
     if not path.exists():
         return set()
@@ -80,7 +81,10 @@
 
 
 def main():
-    """Print each failure and the verdict line; exit 0 if nothing new failed."""
+    """Print each failure and the totals.
+
+    :return: the exit code: 0 if only known failures occurred.
+    """
     results = [*run_checks(), *run_behave()]
     known_red = read_known_red()
     failed = [name for name, passed in results if not passed]
