--- a/features/host_routes.feature
+++ b/features/host_routes.feature
@@ -1,4 +1,4 @@
-Feature: Requests find their service by host and path
+Feature: Host and path select the route and service of a request
 
   Background:
     Given host routes
@@ -8,8 +8,8 @@
       | audio  | a.test | /sign/x/ | archive            |
       | shared | b.test | /s/      | contracts*9 next*1 |
 
-  Scenario Outline: The longest prefix of the path decides
-    Then host "<host>" and path "<path>" lead to route "<route>"
+  Scenario Outline: The longest matching path prefix wins
+    Then host "<host>" and path "<path>" select route "<route>"
 
     Examples:
       | host      | path          | route |
@@ -23,12 +23,12 @@
       | b.test    | /             | none  |
       | c.test    | /sign/        | none  |
 
-  Scenario: A split is exact in any span of requests
-    When 200 requests of route "shared" are split
-    Then in any 40 of them in a row service "next" takes 3 to 5
+  Scenario: A traffic split is exact within any run of consecutive requests
+    When 200 requests of route "shared" are distributed over its services
+    Then of any 40 consecutive requests "next" receives 3 to 5
 
-  Scenario: A changed weight holds from the next request on
-    When 200 requests of route "shared" are split
-    And the parts of route "shared" become "contracts*1 next*1"
-    And 40 requests of route "shared" are split
-    Then in any 40 of them in a row service "next" takes 19 to 21
+  Scenario: A changed weight applies from the next request on
+    When 200 requests of route "shared" are distributed over its services
+    And the weighted services of route "shared" become "contracts*1 next*1"
+    And 40 requests of route "shared" are distributed over its services
+    Then of any 40 consecutive requests "next" receives 19 to 21
--- a/features/steps/host_routes_steps.py
+++ b/features/steps/host_routes_steps.py
@@ -1,4 +1,4 @@
-"""Steps for routes by host and path."""
+"""Steps for routing by host and path, and for traffic splits."""
 
 import random
 from datetime import timedelta
@@ -17,17 +17,25 @@
 SECOND = timedelta(seconds=1)
 
 
-def read_parts(text):
+def parse_weighted_services(text):
     parts = []
-    for word in text.split():
-        service, _, weight = word.partition("*")
+    for part in text.split():
+        service, _, weight = part.partition("*")
         parts.append(WeightedService(service, float(weight or 1)))
     return tuple(parts)
 
 
 def make_route(name, host, prefix, parts, kind=RouteKind.SAFE):
     return HostRoute(
-        name, host, prefix, kind, 4 * SECOND, SECOND, 0, 2, read_parts(parts)
+        name,
+        host,
+        prefix,
+        kind,
+        4 * SECOND,
+        SECOND,
+        0,
+        2,
+        parse_weighted_services(parts),
     )
 
 
@@ -37,28 +45,30 @@
     context.splitter = RouteSplitter(random.Random(1))
 
 
-@then('host "{host}" and path "{path}" lead to route "{route}"')
+@then('host "{host}" and path "{path}" select route "{route}"')
 def check_route(context, host, path, route):
     found = HostRoutes(context.routes).find(host, path)
     assert (found.name if found else "none") == route, found
 
 
-@when('{count:d} requests of route "{name}" are split')
+@when('{count:d} requests of route "{name}" are distributed over its services')
 def split_requests(context, count, name):
     (route,) = [route for route in context.routes if route.name == name]
     context.chosen = [context.splitter.choose(route) for _ in range(count)]
 
 
-@when('the parts of route "{name}" become "{parts}"')
-def change_parts(context, name, parts):
+@when('the weighted services of route "{name}" become "{parts}"')
+def change_weights(context, name, parts):
     context.routes = [
-        attrs.evolve(route, parts=read_parts(parts)) if route.name == name else route
+        attrs.evolve(route, parts=parse_weighted_services(parts))
+        if route.name == name
+        else route
         for route in context.routes
     ]
 
 
-@then('in any {span:d} of them in a row service "{service}" takes {low:d} to {high:d}')
-def check_shares(context, span, service, low, high):
+@then('of any {span:d} consecutive requests "{service}" receives {low:d} to {high:d}')
+def check_split(context, span, service, low, high):
     for start in range(len(context.chosen) - span + 1):
-        taken = context.chosen[start : start + span].count(service)
-        assert low <= taken <= high, (start, taken)
+        received = context.chosen[start : start + span].count(service)
+        assert low <= received <= high, (start, received)
