--- a/features/http_client.feature
+++ b/features/http_client.feature
@@ -1,10 +1,10 @@
 Feature: The HTTP client sends each request exactly once
-  Scenario Outline: A broken exchange is not sent again
+  Scenario Outline: A request whose exchange failed is not sent again
     Given an HTTP client and a scripted server
     When it sends a non-idempotent request that the server ends with "<behaviour>"
     Then the verdict of request 1 is "may-have-run"
     And the reason of request 1 is "<reason>"
-    And the server was delivered 1 request
+    And the server received 1 request
 
     Examples:
       | behaviour | reason            |
@@ -14,13 +14,13 @@
       | truncate  | truncated-answer  |
       | never     | deadline-exceeded |
 
-  Scenario Outline: A kept connection that breaks is no reason to send again
+  Scenario Outline: A request that fails on a reused connection is not sent again
     Given an HTTP client and a scripted server
-    When it sends "ok" and then the same over the kept connection with "<behaviour>"
-    Then request 1 got its own answer
+    When it requests "ok" and then "<behaviour>" on the same kept-alive connection
+    Then request 1 received its own response
     And the verdict of request 2 is "may-have-run"
-    And the server was delivered 2 requests
-    And the server saw 1 connection
+    And the server received 2 requests
+    And the server accepted 1 connection
 
     Examples:
       | behaviour |
@@ -28,85 +28,85 @@
       | truncate  |
       | never     |
 
-  Scenario: The check for resends catches a client that resends
+  Scenario: The check for duplicates detects a client that resends
     Given an HTTP client with the planted fault "resending" and a scripted server
     When it sends a non-idempotent request that the server ends with "close"
-    Then the server was delivered 2 requests
+    Then the server received 2 requests
 
-  Scenario: A connection that was refused carried nothing
+  Scenario: A refused connection means that the request was not run
     Given an HTTP client and a scripted server
-    When it sends a request while nobody listens
+    When it sends a request while no server listens
     Then the verdict of request 1 is "not-run"
 
-  Scenario Outline: A host that answers nothing is blamed only if it had time to answer
+  Scenario Outline: An unresponsive host is a connection failure only if it had time to respond
     Given an HTTP client and a scripted server
-    When it can't connect to a host that answers nothing within <time_ms> ms
+    When it sends a request with a timeout of <time_ms> ms to an unresponsive host
     Then the verdict of request 1 is "not-run"
     And the reason of request 1 is "<reason>"
-    And the server was delivered 0 requests
+    And the server received 0 requests
 
     Examples:
       | time_ms | reason            |
       | 60000   | connection-failed |
       | 100     | deadline-exceeded |
 
-  Scenario: A late answer is not taken for the answer to the next request
+  Scenario: A late response is not mistaken for the response to the next request
     Given an HTTP client and a scripted server
-    When one request times out and another follows before the late answer
+    When a request times out and another is sent before the late response
     Then the verdict of request 1 is "may-have-run"
-    And request 2 got its own answer
-    And the server saw 2 connections
+    And request 2 received its own response
+    And the server accepted 2 connections
 
-  Scenario: The check for own answers catches a client that reuses a broken connection
+  Scenario: The check for mixed-up responses detects a client that reuses a timed-out connection
     Given an HTTP client with the planted fault "careless" and a scripted server
-    When one request times out and another follows before the late answer
-    Then request 2 got a wrong answer or none
+    When a request times out and another is sent before the late response
+    Then request 2 received a wrong response or none
 
-  Scenario: Bytes that nobody asked for spoil a kept connection
+  Scenario: A connection with unexpected bytes is not reused
     Given an HTTP client and a scripted server
-    When it sends "extra" and then the same over the kept connection with "ok"
-    Then request 1 got its own answer
-    And request 2 got its own answer
-    And the server saw 2 connections
+    When it requests "extra" and then "ok" on the same kept-alive connection
+    Then request 1 received its own response
+    And request 2 received its own response
+    And the server accepted 2 connections
 
-  Scenario: A non-idempotent request takes no connection that was not proved lately
+  Scenario: A non-idempotent request reuses only a connection that worked recently
     Given an HTTP client and a scripted server
-    When a non-idempotent request follows 2 s after another one
-    Then request 2 got its own answer
-    And the server saw 2 connections
+    When a non-idempotent request is sent 2 s after another one
+    Then request 2 received its own response
+    And the server accepted 2 connections
 
-  Scenario: An idempotent request keeps the connection
+  Scenario: An idempotent request reuses an idle connection
     Given an HTTP client and a scripted server
-    When an idempotent request follows 2 s after another one
-    Then request 2 got its own answer
-    And the server saw 1 connection
+    When an idempotent request is sent 2 s after another one
+    Then request 2 received its own response
+    And the server accepted 1 connection
 
-  Scenario: No request takes a connection that was idle for too long
+  Scenario: No request reuses a connection past its idle timeout
     Given an HTTP client and a scripted server
-    When an idempotent request follows 6 s after another one
-    Then request 2 got its own answer
-    And the server saw 2 connections
+    When an idempotent request is sent 6 s after another one
+    Then request 2 received its own response
+    And the server accepted 2 connections
 
-  Scenario: A connection that nobody uses is closed
+  Scenario: An unused connection is closed
     Given an HTTP client and a scripted server
-    When it sends "ok" and then the same over the kept connection with "ok"
-    Then the kept connection was closed when it had been idle for too long
+    When it requests "ok" and then "ok" on the same kept-alive connection
+    Then the kept-alive connection was closed after its idle timeout
 
-  Scenario: A refusal is heard while the body is still being sent
+  Scenario: A rejection is received while the body is still being sent
     Given an HTTP client and a scripted server
-    When it sends a body of 100 chunks that the server refuses unread
+    When it sends a body of 100 chunks that the server rejects unread
     Then request 1 was answered with status 503
-    And fewer than 100 chunks of the body were taken
-    And request 2 got its own answer
+    And fewer than 100 chunks of the body were sent
+    And request 2 received its own response
 
-  Scenario: Informational answers are skipped
+  Scenario: Informational responses are skipped
     Given an HTTP client and a scripted server
-    When it sends "informed" and then the same over the kept connection with "ok"
-    Then request 1 got its own answer
-    And request 2 got its own answer
+    When it requests "informed" and then "ok" on the same kept-alive connection
+    Then request 1 received its own response
+    And request 2 received its own response
 
   Scenario: Cancelling a request closes its connection
     Given an HTTP client and a scripted server
-    When a request is cancelled while the server works on it
-    Then the server saw the connection of the cancelled request close
-    And the server saw 2 connections
+    When a request is cancelled while the server processes it
+    Then the client closed the connection of the cancelled request
+    And the server accepted 2 connections
--- a/features/http_server.feature
+++ b/features/http_server.feature
@@ -1,7 +1,7 @@
-Feature: The HTTP server streams, and tells a caller the truth about bad input
-  Scenario Outline: A bad request is refused and disturbs nobody
+Feature: The HTTP server streams bodies and reports bad input correctly
+  Scenario Outline: A bad request is rejected without affecting other requests
     Given an HTTP server in memory
-    When a caller sends a bad request "<kind>" beside a good one in progress
+    When a caller sends a bad request "<kind>" while a good one is in progress
     Then the bad request is answered with status "<status>" and verdict not-run
     And its handler was not called
     And the good request was answered
@@ -16,22 +16,22 @@
       | no host           | 400    |
       | tunnel            | 405    |
 
-  Scenario: A body that the caller cuts is told to the handler
+  Scenario: A body that the caller interrupts cancels the handler
     Given an HTTP server in memory
-    When a caller cuts the body of a request
+    When a caller disconnects in the middle of a request body
     Then the handler of "/read" was cancelled
     And the good request was answered
     And exactly one line was logged
 
-  Scenario: A malformed chunk within a body claims nothing about the request
+  Scenario: A malformed chunk within a body gives no not-run verdict
     Given an HTTP server in memory
-    When a caller sends a chunk that is not one within a body
+    When a caller sends a malformed chunk within a body
     Then no verdict not-run was given
 
-  Scenario Outline: A truncated answer never looks whole
+  Scenario Outline: A truncated response never looks complete
     Given an HTTP server in memory
-    When a caller asks over "<version>" for "<path>"
-    Then the answer is broken off visibly
+    When a caller requests "<path>" over HTTP "<version>"
+    Then a client can tell that the response was interrupted
     And exactly one line was logged
 
     Examples:
@@ -40,35 +40,35 @@
       | 1.1     | /truncated-length |
       | 1.0     | /truncated-chunks |
 
-  Scenario: A fault of the daemon claims nothing about the request
+  Scenario: An internal error of the daemon gives the verdict may-have-run
     Given an HTTP server in memory
-    When a caller asks over "1.1" for "/broken"
-    Then the answer has status "500" and verdict may-have-run
+    When a caller requests "/broken" over HTTP "1.1"
+    Then the response has status "500" and verdict may-have-run
 
-  Scenario: A caller can't hold a connection with an endless head
+  Scenario: A caller can't hold a connection with a head that never ends
     Given an HTTP server in memory
     When a caller sends the head of a request one byte every 10 s
-    Then the server closes the connection before the head is whole
+    Then the server closes the connection before the head is complete
 
-  Scenario: A caller that goes away cancels its request
+  Scenario: A caller that disconnects cancels its request
     Given an HTTP server in memory
-    When a caller goes away while its request is handled
+    When a caller disconnects while its request is handled
     Then the handler of "/wait" was cancelled
 
-  Scenario: A slow reader holds the answer back
+  Scenario: A caller that reads slowly slows down the response
     Given an HTTP server in memory
-    When a caller reads nothing of a huge answer
-    Then fewer than 400 chunks of it were made before it was read
-    And the whole huge answer arrived
+    When a caller reads nothing of a huge response
+    Then fewer than 400 of its chunks were produced before it was read
+    And the complete huge response arrived
 
-  Scenario: A slow handler holds the caller back
+  Scenario: A handler that reads slowly slows down the caller
     Given an HTTP server in memory
-    When a caller sends a huge body to a handler that does not read
-    Then the server held back the caller with at most 524288 bytes in memory
+    When a caller sends a huge body to a handler that does not read it
+    Then the server stopped reading from the caller with at most 524288 bytes in memory
 
-  Scenario: A drain refuses nothing that was accepted
+  Scenario: A drain completes every accepted request
     Given an HTTP server in memory
-    When the server drains with one request in flight and one kept connection
+    When the server drains with one request in flight and one kept-alive connection
     Then a new connection was refused
-    And the kept connection was answered and told to close
-    And the drain ended only after the request in flight
+    And the kept-alive connection got a response that closes it
+    And the drain ended only after the request in flight had completed
--- a/features/steps/http_client_steps.py
+++ b/features/steps/http_client_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the HTTP client: a scripted server counts what is delivered."""
+"""Steps for the HTTP client, against a scripted server that counts requests."""
 
 import asyncio
 from collections import deque
@@ -15,14 +15,14 @@
 from wagtailstep.utils.clock import LoopClock
 
 ADDRESS = "server:80"
-CLIENT_PATIENCE = timedelta(seconds=2)
+CLIENT_TIMEOUT = timedelta(seconds=2)
 
 
 class ScriptedServer:
-    """Reads requests with h11 and ends each as its path says."""
+    """Reads requests with h11; the path of each selects how the server ends it."""
 
     def __init__(self):
-        self.delivered = []
+        self.received = []
         self.connections = 0
         self.closed_by_client = 0
         self.body_bytes = 0
@@ -57,7 +57,7 @@
             self.closed_by_client += 1
             return False
         path = request.target.decode()
-        self.delivered.append(path)
+        self.received.append(path)
         if path.startswith("/early"):
             self.answer(state, writer, 503, b"refused")
             return False
@@ -103,8 +103,8 @@
             writer.write(state.send(event))
 
 
-class CarelessClient(HttpClient):
-    """Planted fault: keeps the connection of an answer that never came."""
+class StaleConnectionReusingClient(HttpClient):
+    """Planted fault: reuses a connection whose response never arrived."""
 
     async def acquire(self, request):
         connection = await super().acquire(request)
@@ -120,7 +120,7 @@
 
 
 class ResendingClient(HttpClient):
-    """Planted fault: sends a request again when its connection broke."""
+    """Planted fault: sends a request again when its connection failed."""
 
     async def send(self, request):
         try:
@@ -129,11 +129,11 @@
             return await super().send(request)
 
 
-CLIENT_FAULTS = {"careless": CarelessClient, "resending": ResendingClient}
+CLIENT_FAULTS = {"careless": StaleConnectionReusingClient, "resending": ResendingClient}
 
 
 class Caller:
-    """Sends requests one after the other and keeps what came of each."""
+    """Sends requests one after the other and records the outcome of each."""
 
     def __init__(self, client):
         self.client = client
@@ -145,7 +145,7 @@
         method="GET",
         body=None,
         length=None,
-        patience=None,
+        timeout=None,
         address=ADDRESS,
     ):
         headers = () if length is None else (("content-length", str(length)),)
@@ -156,7 +156,7 @@
             headers=headers,
             body=body,
             idempotent=method == "GET",
-            time_left=patience or CLIENT_PATIENCE,
+            time_left=timeout or CLIENT_TIMEOUT,
         )
         try:
             answer = await self.client.send(request)
@@ -179,7 +179,7 @@
         context.caller = Caller(client)
         await scenario(context.caller)
         await asyncio.sleep(10)
-        context.kept = len(client.pools)
+        context.pooled_addresses = len(client.pools)
         context.closed_while_idle = context.server.closed_by_client
         client.close()
 
@@ -197,15 +197,15 @@
 
 
 @when('it sends a non-idempotent request that the server ends with "{behaviour}"')
-def send_failing(context, behaviour):
+def send_failing_request(context, behaviour):
     async def scenario(caller):
         await caller.call(f"/{behaviour}/1", "POST")
 
     run_with_server(context, scenario)
 
 
-@when('it sends "{first}" and then the same over the kept connection with "{second}"')
-def send_on_kept(context, first, second):
+@when('it requests "{first}" and then "{second}" on the same kept-alive connection')
+def send_on_kept_alive(context, first, second):
     async def scenario(caller):
         await caller.call(f"/{first}/1", "POST")
         await caller.call(f"/{second}/2", "POST")
@@ -213,33 +213,33 @@
     run_with_server(context, scenario)
 
 
-@when("it sends a request while nobody listens")
-def send_to_nobody(context):
+@when("it sends a request while no server listens")
+def send_without_listener(context):
     async def scenario(caller):
         await caller.call("/ok/1", "POST")
 
     run_with_server(context, scenario, listening=False)
 
 
-@when("it can't connect to a host that answers nothing within {time_ms:d} ms")
-def connect_to_silent_host(context, time_ms):
+@when("it sends a request with a timeout of {time_ms:d} ms to an unresponsive host")
+def connect_to_unresponsive_host(context, time_ms):
     async def scenario(caller):
         detangle.network().disconnect("localhost", "server")
-        await caller.call("/ok/1", patience=timedelta(milliseconds=time_ms))
+        await caller.call("/ok/1", timeout=timedelta(milliseconds=time_ms))
 
     run_with_server(context, scenario)
 
 
-@when("one request times out and another follows before the late answer")
+@when("a request times out and another is sent before the late response")
 def send_after_timeout(context):
     async def scenario(caller):
         await caller.call("/late/1")
-        await caller.call("/ok/2", patience=timedelta(seconds=60))
+        await caller.call("/ok/2", timeout=timedelta(seconds=60))
 
     run_with_server(context, scenario)
 
 
-@when("a non-idempotent request follows {gap_s:d} s after another one")
+@when("a non-idempotent request is sent {gap_s:d} s after another one")
 def send_after_gap(context, gap_s):
     async def scenario(caller):
         await caller.call("/ok/1", "POST")
@@ -249,7 +249,7 @@
     run_with_server(context, scenario)
 
 
-@when("an idempotent request follows {gap_s:d} s after another one")
+@when("an idempotent request is sent {gap_s:d} s after another one")
 def send_idempotent_after_gap(context, gap_s):
     async def scenario(caller):
         await caller.call("/ok/1")
@@ -259,13 +259,13 @@
     run_with_server(context, scenario)
 
 
-@when("it sends a body of {chunks:d} chunks that the server refuses unread")
+@when("it sends a body of {chunks:d} chunks that the server rejects unread")
 def send_refused_body(context, chunks):
-    context.chunks_taken = 0
+    context.chunks_sent = 0
 
     async def body():
         for _ in range(chunks):
-            context.chunks_taken += 1
+            context.chunks_sent += 1
             await asyncio.sleep(0.01)
             yield b"x" * 65_536
 
@@ -276,7 +276,7 @@
     run_with_server(context, scenario)
 
 
-@when("a request is cancelled while the server works on it")
+@when("a request is cancelled while the server processes it")
 def cancel_request(context):
     async def scenario(caller):
         task = asyncio.create_task(caller.call("/never/1", "POST"))
@@ -298,14 +298,14 @@
     assert context.caller.results[number - 1][2] == reason, context.caller.results
 
 
-@then("request {number:d} got its own answer")
-def check_own_answer(context, number):
+@then("request {number:d} received its own response")
+def check_own_response(context, number):
     path, status, text = context.caller.results[number - 1]
     assert (status, text) == (200, path), context.caller.results
 
 
-@then("request {number:d} got a wrong answer or none")
-def check_wrong_answer(context, number):
+@then("request {number:d} received a wrong response or none")
+def check_wrong_response(context, number):
     path, status, text = context.caller.results[number - 1]
     assert (status, text) != (200, path), context.caller.results
 
@@ -315,29 +315,29 @@
     assert context.caller.results[number - 1][1] == status, context.caller.results
 
 
-@then("the kept connection was closed when it had been idle for too long")
-def check_swept(context):
-    assert context.kept == 0
+@then("the kept-alive connection was closed after its idle timeout")
+def check_idle_connection_closed(context):
+    assert context.pooled_addresses == 0
     assert context.closed_while_idle == 1, context.closed_while_idle
 
 
-@then("the server was delivered {count:d} request")
-@then("the server was delivered {count:d} requests")
-def check_delivered(context, count):
-    assert len(context.server.delivered) == count, context.server.delivered
+@then("the server received {count:d} request")
+@then("the server received {count:d} requests")
+def check_received(context, count):
+    assert len(context.server.received) == count, context.server.received
 
 
-@then("the server saw {count:d} connection")
-@then("the server saw {count:d} connections")
+@then("the server accepted {count:d} connection")
+@then("the server accepted {count:d} connections")
 def check_connections(context, count):
     assert context.server.connections == count, context.server.connections
 
 
-@then("the server saw the connection of the cancelled request close")
+@then("the client closed the connection of the cancelled request")
 def check_closed(context):
     assert context.server.closed_by_client >= 1
 
 
-@then("fewer than {count:d} chunks of the body were taken")
+@then("fewer than {count:d} chunks of the body were sent")
 def check_chunks(context, count):
-    assert context.chunks_taken < count, context.chunks_taken
+    assert context.chunks_sent < count, context.chunks_sent
--- a/features/steps/http_server_steps.py
+++ b/features/steps/http_server_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the HTTP server: raw callers against the real server, in memory."""
+"""Steps for the HTTP server: callers that send raw bytes to the real server."""
 
 import asyncio
 import logging
@@ -29,8 +29,8 @@
 }
 
 
-class Records(logging.Handler):
-    """Keeps what was logged."""
+class LogCapture(logging.Handler):
+    """Collects the messages that were logged."""
 
     def __init__(self):
         super().__init__()
@@ -40,13 +40,13 @@
         self.messages.append(record.getMessage())
 
 
-class ServerWorld:
-    """The server with a handler that does what the path says."""
+class ServerFixture:
+    """The server with a handler whose behaviour is selected by the path."""
 
     def __init__(self):
         self.handled = []
         self.cancelled = []
-        self.chunks_made = 0
+        self.chunks_produced = 0
         self.proceed = asyncio.Event()
         self.app = ExchangeApp(self.handle)
         self.server = HttpServer(self.app, self.app.announce_closing)
@@ -67,54 +67,56 @@
             async for _ in incoming.body:
                 pass
         if name == "huge":
-            return Answer(200, (), self.make_huge(), Verdict.RUN)
+            return Answer(200, (), self.generate_huge_body(), Verdict.RUN)
         if name.startswith("truncated"):
             headers = (("content-length", "100"),) if name.endswith("length") else ()
-            return Answer(200, headers, self.make_truncated(), Verdict.RUN)
+            return Answer(200, headers, self.generate_truncated_body(), Verdict.RUN)
         if name == "broken":
             raise KeyError("a bug of the handler")
-        return Answer(200, (("content-length", "4"),), self.make_small(), Verdict.RUN)
+        return Answer(
+            200, (("content-length", "4"),), self.generate_small_body(), Verdict.RUN
+        )
 
-    async def make_small(self):
+    async def generate_small_body(self):
         yield b"good"
 
-    async def make_truncated(self):
+    async def generate_truncated_body(self):
         yield b"half"
         raise TruncatedAnswerError("the backend server stopped")
 
-    async def make_huge(self):
+    async def generate_huge_body(self):
         for _ in range(HUGE_CHUNKS):
-            self.chunks_made += 1
+            self.chunks_produced += 1
             yield CHUNK
 
 
 def run_server(context, scenario, on_sockets=False):
     """Run a scenario beside the server, in virtual time or on real sockets.
 
-    The network in memory has no limit on what is under way and no reset, so what
-    depends on these runs on sockets.
+    The in-memory network has neither flow control nor connection resets, so scenarios
+    that depend on these run on sockets.
     """
-    records = Records()
-    logging.getLogger().addHandler(records)
+    log_capture = LogCapture()
+    logging.getLogger().addHandler(log_capture)
     logging.getLogger().setLevel(logging.INFO)
-    context.log = records.messages
+    context.log = log_capture.messages
 
-    async def serve(world):
-        await world.server.start("server:80")
+    async def serve(fixture):
+        await fixture.server.start("server:80")
         await asyncio.Event().wait()
 
     async def main():
-        context.world = ServerWorld()
-        detangle.spawn(serve(context.world), host="server")
+        context.fixture = ServerFixture()
+        detangle.spawn(serve(context.fixture), host="server")
         await asyncio.sleep(0.01)
-        await scenario(context.world)
-        await context.world.server.close()
+        await scenario(context.fixture)
+        await context.fixture.server.close()
 
     async def main_on_sockets():
-        world = context.world = ServerWorld()
-        world.address = await world.server.start("127.0.0.1:0")
-        await scenario(world)
-        await world.server.close()
+        fixture = context.fixture = ServerFixture()
+        fixture.address = await fixture.server.start("127.0.0.1:0")
+        await scenario(fixture)
+        await fixture.server.close()
 
     try:
         if on_sockets:
@@ -122,7 +124,7 @@
         else:
             detangle.run(main, seed=1)
     finally:
-        logging.getLogger().removeHandler(records)
+        logging.getLogger().removeHandler(log_capture)
 
 
 async def connect(address="server:80"):
@@ -130,8 +132,8 @@
     return await asyncio.open_connection(host, int(port))
 
 
-async def exchange(data, address="server:80"):
-    """Send bytes and return all bytes that come back before a pause or the end."""
+async def send_and_receive(data, address="server:80"):
+    """Send bytes and return all bytes received until a long pause or the end."""
     reader, writer = await connect(address)
     writer.write(data)
     received = await read_all(reader)
@@ -157,35 +159,37 @@
     context.received = b""
 
 
-@when('a caller sends a bad request "{kind}" beside a good one in progress')
+@when('a caller sends a bad request "{kind}" while a good one is in progress')
 def send_bad_request(context, kind):
-    async def scenario(world):
-        good = asyncio.create_task(exchange(b"GET /wait HTTP/1.1\r\nhost: a\r\n\r\n"))
+    async def scenario(fixture):
+        good = asyncio.create_task(
+            send_and_receive(b"GET /wait HTTP/1.1\r\nhost: a\r\n\r\n")
+        )
         await asyncio.sleep(0.1)
-        context.received = await exchange(BAD_REQUESTS[kind])
-        world.proceed.set()
-        context.good = await good
+        context.received = await send_and_receive(BAD_REQUESTS[kind])
+        fixture.proceed.set()
+        context.good_response = await good
 
     run_server(context, scenario)
 
 
-@when("a caller cuts the body of a request")
-def cut_body(context):
-    async def scenario(world):
+@when("a caller disconnects in the middle of a request body")
+def disconnect_during_body(context):
+    async def scenario(fixture):
         _, writer = await connect()
         writer.write(b"POST /read HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\nhalf")
         await asyncio.sleep(0.1)
         writer.close()
         await asyncio.sleep(0.1)
-        context.good = await exchange(GOOD_REQUEST)
+        context.good_response = await send_and_receive(GOOD_REQUEST)
 
     run_server(context, scenario)
 
 
-@when("a caller sends a chunk that is not one within a body")
+@when("a caller sends a malformed chunk within a body")
 def send_bad_chunk(context):
-    async def scenario(world):
-        context.received = await exchange(
+    async def scenario(fixture):
+        context.received = await send_and_receive(
             b"POST /read HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n"
             b"4\r\nhalf\r\nnot a chunk\r\n"
         )
@@ -193,26 +197,26 @@
     run_server(context, scenario)
 
 
-@when('a caller asks over "{version}" for "{path}"')
-def ask_for(context, version, path):
-    async def scenario(world):
+@when('a caller requests "{path}" over HTTP "{version}"')
+def request_path(context, version, path):
+    async def scenario(fixture):
         request = f"GET {path} HTTP/{version}\r\nhost: a\r\nconnection: close\r\n\r\n"
-        context.received = await exchange(request.encode(), world.address)
+        context.received = await send_and_receive(request.encode(), fixture.address)
 
     run_server(context, scenario, on_sockets=True)
 
 
 @when("a caller sends the head of a request one byte every {pause_s:d} s")
 def send_slowly(context, pause_s):
-    async def scenario(world):
+    async def scenario(fixture):
         reader, writer = await connect()
         closing = asyncio.create_task(reader.read())
-        context.bytes_taken = 0
+        context.bytes_sent = 0
         for byte in GOOD_REQUEST:
             if closing.done():
                 break
             writer.write(bytes([byte]))
-            context.bytes_taken += 1
+            context.bytes_sent += 1
             await asyncio.sleep(pause_s)
         closing.cancel()
         writer.close()
@@ -220,9 +224,9 @@
     run_server(context, scenario)
 
 
-@when("a caller goes away while its request is handled")
-def go_away(context):
-    async def scenario(world):
+@when("a caller disconnects while its request is handled")
+def disconnect_caller(context):
+    async def scenario(fixture):
         _, writer = await connect()
         writer.write(b"GET /wait HTTP/1.1\r\nhost: a\r\n\r\n")
         await asyncio.sleep(0.1)
@@ -232,14 +236,14 @@
     run_server(context, scenario)
 
 
-@when("a caller reads nothing of a huge answer")
+@when("a caller reads nothing of a huge response")
 def read_nothing(context):
-    async def scenario(world):
-        reader, writer = await connect(world.address)
+    async def scenario(fixture):
+        reader, writer = await connect(fixture.address)
         writer.write(b"GET /huge HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n")
-        while not is_stalled(world) and world.chunks_made < HUGE_CHUNKS:
+        while not is_writing_paused(fixture) and fixture.chunks_produced < HUGE_CHUNKS:
             await asyncio.sleep(0)
-        context.made_before_reading = world.chunks_made
+        context.produced_before_reading = fixture.chunks_produced
         received = await read_all(reader)
         context.huge_bytes = received.count(b"#")
         writer.close()
@@ -247,14 +251,14 @@
     run_server(context, scenario, on_sockets=True)
 
 
-def is_stalled(world):
-    """Tell whether the server waits for its caller to read."""
+def is_writing_paused(fixture):
+    """Return whether the server waits for its caller to read."""
     return any(
-        connection.flow.write_paused for connection in world.server.state.connections
+        connection.flow.write_paused for connection in fixture.server.state.connections
     )
 
 
-@when("a caller sends a huge body to a handler that does not read")
+@when("a caller sends a huge body to a handler that does not read it")
 def send_to_slow_handler(context):
     context.chunks_accepted = 0
 
@@ -267,13 +271,14 @@
             await writer.drain()
             context.chunks_accepted += 1
 
-    async def scenario(world):
-        _, writer = await connect(world.address)
+    async def scenario(fixture):
+        _, writer = await connect(fixture.address)
         sending = asyncio.create_task(send(writer))
-        while not holds_back(world, writer) and not sending.done():
+        while not is_reading_paused(fixture, writer) and not sending.done():
             await asyncio.sleep(0)
         context.buffered = max(
-            len(connection.cycle.body) for connection in world.server.state.connections
+            len(connection.cycle.body)
+            for connection in fixture.server.state.connections
         )
         sending.cancel()
         writer.transport.abort()
@@ -281,33 +286,33 @@
     run_server(context, scenario, on_sockets=True)
 
 
-def holds_back(world, writer):
-    """Tell whether the server has stopped reading and its caller can't write."""
-    paused = any(c.flow.read_paused for c in world.server.state.connections)
+def is_reading_paused(fixture, writer):
+    """Return whether the server stopped reading and its caller can't write more."""
+    paused = any(c.flow.read_paused for c in fixture.server.state.connections)
     return paused and writer.transport.get_write_buffer_size() > 0
 
 
-@when("the server drains with one request in flight and one kept connection")
+@when("the server drains with one request in flight and one kept-alive connection")
 def drain_server(context):
-    async def scenario(world):
+    async def scenario(fixture):
         waiting = asyncio.create_task(
-            exchange(b"GET /wait HTTP/1.1\r\nhost: a\r\n\r\n")
+            send_and_receive(b"GET /wait HTTP/1.1\r\nhost: a\r\n\r\n")
         )
         reader, writer = await connect()
         writer.write(GOOD_REQUEST)
         await reader.readuntil(b"good")
-        world.server.stop_accepting()
+        fixture.server.stop_accepting()
         try:
             await connect()
             context.refused = False
         except OSError:
             context.refused = True
-        draining = asyncio.create_task(world.server.drain(timedelta(seconds=60)))
+        draining = asyncio.create_task(fixture.server.drain(timedelta(seconds=60)))
         writer.write(GOOD_REQUEST)
-        context.kept = await read_all(reader)
+        context.kept_alive_response = await read_all(reader)
         context.drained_early = draining.done()
-        world.proceed.set()
-        context.good = await waiting
+        fixture.proceed.set()
+        context.good_response = await waiting
         context.drained = await draining
 
     run_server(context, scenario)
@@ -322,12 +327,12 @@
 
 @then("its handler was not called")
 def check_not_handled(context):
-    assert context.world.handled == ["/wait"], context.world.handled
+    assert context.fixture.handled == ["/wait"], context.fixture.handled
 
 
 @then("the good request was answered")
 def check_good(context):
-    assert context.good.endswith(b"good"), context.good
+    assert context.good_response.endswith(b"good"), context.good_response
 
 
 @then("exactly one line was logged")
@@ -340,8 +345,8 @@
     assert b"not-run" not in context.received, context.received
 
 
-@then("the answer is broken off visibly")
-def check_broken(context):
+@then("a client can tell that the response was interrupted")
+def check_interrupted(context):
     if context.received.endswith(b"<reset>"):
         return
     assert b"half" in context.received, context.received
@@ -354,10 +359,10 @@
             assert parser.their_state is not h11.DONE, context.received
     except h11.RemoteProtocolError:
         return
-    raise AssertionError("an HTTP client takes the answer for a whole one")
+    raise AssertionError("an HTTP client accepts the truncated response as complete")
 
 
-@then('the answer has status "{status}" and verdict may-have-run')
+@then('the response has status "{status}" and verdict may-have-run')
 def check_internal_error(context, status):
     head = context.received.decode("latin-1")
     assert head.startswith(f"HTTP/1.1 {status} "), head
@@ -366,27 +371,29 @@
 
 @then('the handler of "{path}" was cancelled')
 def check_cancelled(context, path):
-    assert context.world.cancelled == [path], context.world.cancelled
+    assert context.fixture.cancelled == [path], context.fixture.cancelled
 
 
-@then("fewer than {count:d} chunks of it were made before it was read")
-def check_made(context, count):
-    assert context.made_before_reading < count, context.made_before_reading
+@then("fewer than {count:d} of its chunks were produced before it was read")
+def check_produced(context, count):
+    assert context.produced_before_reading < count, context.produced_before_reading
 
 
-@then("the server closes the connection before the head is whole")
+@then("the server closes the connection before the head is complete")
 def check_slow_head(context):
-    assert context.bytes_taken < len(GOOD_REQUEST), context.bytes_taken
-    assert context.world.handled == [], context.world.handled
+    assert context.bytes_sent < len(GOOD_REQUEST), context.bytes_sent
+    assert context.fixture.handled == [], context.fixture.handled
 
 
-@then("the whole huge answer arrived")
+@then("the complete huge response arrived")
 def check_huge(context):
     assert context.huge_bytes == HUGE_CHUNKS * len(CHUNK), context.huge_bytes
 
 
-@then("the server held back the caller with at most {size:d} bytes in memory")
-def check_held_back(context, size):
+@then(
+    "the server stopped reading from the caller with at most {size:d} bytes in memory"
+)
+def check_backpressure(context, size):
     assert context.chunks_accepted < HUGE_CHUNKS, context.chunks_accepted
     assert context.buffered <= size, context.buffered
 
@@ -396,14 +403,16 @@
     assert context.refused
 
 
-@then("the kept connection was answered and told to close")
-def check_kept(context):
-    assert context.kept.endswith(b"good"), context.kept
-    assert b"connection: close" in context.kept.lower(), context.kept
+@then("the kept-alive connection got a response that closes it")
+def check_kept_alive(context):
+    assert context.kept_alive_response.endswith(b"good"), context.kept_alive_response
+    assert b"connection: close" in context.kept_alive_response.lower(), (
+        context.kept_alive_response
+    )
 
 
-@then("the drain ended only after the request in flight")
+@then("the drain ended only after the request in flight had completed")
 def check_drained(context):
     assert not context.drained_early
     assert context.drained
-    assert context.good.endswith(b"good"), context.good
+    assert context.good_response.endswith(b"good"), context.good_response
