--- a/features/late_announcements.feature
+++ b/features/late_announcements.feature
@@ -1,26 +1,26 @@
-Feature: Late announcements change nothing
+Feature: Late and duplicate announcements are ignored
 
   Background:
     Given a controller of announcements
 
-  Scenario: An announcement that was overtaken is ignored
+  Scenario: An announcement that arrives after a newer one is ignored
     When process 5 of "contracts/i-1" announces itself with sequence 3 as "serving"
     And process 5 of "contracts/i-1" announces itself with sequence 4 as "leaving"
     And process 5 of "contracts/i-1" announces itself with sequence 3 as "serving"
     Then the target "contracts/i-1" is "leaving"
 
-  Scenario: A process that has left does not come back
+  Scenario: A late announcement does not bring back a process that has left
     When process 5 of "contracts/i-1" announces itself with sequence 3 as "serving"
     And its backend server withdraws
     And process 5 of "contracts/i-1" announces itself with sequence 4 as "serving"
     Then the target "contracts/i-1" is "leaving"
 
-  Scenario: A new process under the same name is a new start
+  Scenario: A new process with the same target id is accepted
     When process 5 of "contracts/i-1" announces itself with sequence 9 as "leaving"
     And process 6 of "contracts/i-1" announces itself with sequence 1 as "serving"
     Then the target "contracts/i-1" is "serving"
 
-  Scenario: A newer process takes an address over, an older one does not
+  Scenario: A newer process takes over an address, an older one does not
     When process 5 of "contracts/i-1" announces itself with sequence 3 as "serving"
     And process 6 of "archive/i-2" announces itself with sequence 1 as "serving"
     Then the target "contracts/i-1" is "gone"
@@ -28,22 +28,22 @@
     Then the target "contracts/i-1" is "gone"
     And the target "archive/i-2" is "serving"
 
-  Scenario: A withdrawal by name ends the target of that name
+  Scenario: A withdrawal by instance id removes the target of that instance
     When process 5 of "contracts/i-1" announces itself with sequence 3 as "serving"
     And instance "i-1" of "contracts" withdraws at 9
     Then the target "contracts/i-1" is "leaving"
 
-  Scenario: A daemon that restarted after a withdrawal takes no late announcement
+  Scenario: A daemon that restarted after a withdrawal ignores a late announcement
     When instance "i-1" of "contracts" withdraws at 9
     And process 5 of "contracts/i-1" announces itself with sequence 4 as "serving"
     Then the target "contracts/i-1" is "gone"
 
-  Scenario: A process that started after the withdrawal is a new start
+  Scenario: A process that started after the withdrawal is accepted
     When instance "i-1" of "contracts" withdraws at 9
     And process 12 of "contracts/i-1" announces itself with sequence 1 as "serving"
     Then the target "contracts/i-1" is "serving"
 
-  Scenario: A clock that was set back keeps no new process out for long
+  Scenario: A clock that was set back excludes a new process only briefly
     When instance "i-1" of "contracts" withdraws at 9
     And 11 seconds pass without an announcement
     And process 8 of "contracts/i-1" announces itself with sequence 1 as "serving"
--- a/features/steps/late_announcements_steps.py
+++ b/features/steps/late_announcements_steps.py
@@ -30,6 +30,6 @@
     assert found == state, found
 
 
-@when('instance "{instance_id}" of "{service}" withdraws at {at:d}')
-def withdraw_instance(context, instance_id, service, at):
-    context.controller.handle(InstanceWithdrawn(instance_id, service, at))
+@when('instance "{instance_id}" of "{service}" withdraws at {withdrawn_at:d}')
+def withdraw_instance(context, instance_id, service, withdrawn_at):
+    context.controller.handle(InstanceWithdrawn(instance_id, service, withdrawn_at))
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -27,9 +27,9 @@
 SIDES = [LoadSide(name, [address]) for name, address in ADDRESSES.items()]
 LOOKUP = LoadClass("lookup", path="/lookup/1", headers={"fake-work-ms": "100"})
 BEHAVIOURS = {
-    "lose patience": {"give_up_ms": 50, "give_up_share": 0.5},
-    "come back at once": {"retries": 2, "waits_as_told": False},
-    "come back when told": {"retries": 1},
+    "give up early": {"give_up_ms": 50, "give_up_share": 0.5},
+    "retry immediately": {"retries": 2, "waits_as_told": False},
+    "retry when advised": {"retries": 1},
 }
 
 
@@ -42,8 +42,8 @@
     context.settings = LoadSettings(SIDES, [LOOKUP], arrivals, slice_s=seconds)
 
 
-@when("its arrivals are drawn")
-def draw(context):
+@when("its arrivals are generated")
+def generate_arrivals(context):
     context.arrivals = plan_slice(context.settings, 0)
 
 
@@ -53,18 +53,18 @@
     assert low <= count <= high, count
 
 
-@then("the arrivals of a slice are the same each time they are drawn")
+@then("the arrivals of a slice are the same each time they are generated")
 def check_same(context):
     first = plan_slice(context.settings, 3)
     assert first == plan_slice(context.settings, 3)
 
 
-@then("those of another slice differ")
+@then("the arrivals of another slice differ")
 def check_differ(context):
     assert plan_slice(context.settings, 3) != plan_slice(context.settings, 4)
 
 
-@then('the sides are played in the order "{first}" and then "{second}"')
+@then('the sides run in the order "{first}" and then "{second}"')
 def check_order(context, first, second):
     orders = [order_sides(context.settings, number) for number in (0, 1)]
     assert orders == [[int(n) for n in text.split()] for text in (first, second)]
@@ -75,7 +75,7 @@
     context.slots = {"old": old, "new": new}
 
 
-def play(context, settings):
+def run_load(context, settings):
     async def main():
         servers = []
         for name, address in ADDRESSES.items():
@@ -92,29 +92,33 @@
     context.report = format_results(context.sides)
 
 
-@when("a load of {rate:d} requests a second with work of {work:d} ms is played at both")
-def play_load(context, rate, work):
-    kind = attrs.evolve(LOOKUP, headers={"fake-work-ms": str(work)}, aim_ms=400)
+@when("a load of {rate:d} requests a second with work of {work:d} ms runs against both")
+def run_uniform_load(context, rate, work):
+    load_class = attrs.evolve(LOOKUP, headers={"fake-work-ms": str(work)}, aim_ms=400)
     arrivals = ArrivalSettings(float(rate))
-    play(context, LoadSettings(SIDES, [kind], arrivals, slices=4, slice_s=5.0))
+    run_load(
+        context, LoadSettings(SIDES, [load_class], arrivals, slices=4, slice_s=5.0)
+    )
 
 
-@when("callers that {behave} play a load of {rate:d} requests a second at both")
-def play_callers(context, behave, rate):
-    kind = attrs.evolve(LOOKUP, **BEHAVIOURS[behave])
+@when("callers that {behaviour} run a load of {rate:d} requests a second against both")
+def run_callers(context, behaviour, rate):
+    load_class = attrs.evolve(LOOKUP, **BEHAVIOURS[behaviour])
     arrivals = ArrivalSettings(float(rate))
-    play(context, LoadSettings(SIDES, [kind], arrivals, slices=2, slice_s=5.0))
+    run_load(
+        context, LoadSettings(SIDES, [load_class], arrivals, slices=2, slice_s=5.0)
+    )
 
 
-def find_whole(context, name):
+def total_result(context, name):
     (side,) = [side for side in context.sides if side.name == name]
     return combine_results(side.total())
 
 
-@then('"new" answers at least {high:d} % in aim and "old" at most {low:d} %')
+@then('"new" answers at least {high:d} % within the aim and "old" at most {low:d} %')
 def check_goodput(context, high, low):
-    assert find_whole(context, "new").goodput * 100 >= high, context.report
-    assert find_whole(context, "old").goodput * 100 <= low, context.report
+    assert total_result(context, "new").goodput * 100 >= high, context.report
+    assert total_result(context, "old").goodput * 100 <= low, context.report
 
 
 @then('the report says "{first}" and "{second}"')
@@ -125,21 +129,21 @@
 
 @then('some requests are counted as "{ended}"')
 def check_ended(context, ended):
-    whole = find_whole(context, "old")
-    assert getattr(whole, ended) > 0, context.report
-    counted = whole.served + whole.refused + whole.failed + whole.gave_up
-    assert whole.asked == counted, context.report
+    total = total_result(context, "old")
+    assert getattr(total, ended) > 0, context.report
+    counted = total.served + total.refused + total.failed + total.gave_up
+    assert total.asked == counted, context.report
 
 
-@then("a picture of it is a PNG")
-def check_picture(context):
+@then("its chart is a PNG image")
+def check_chart(context):
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "load.png"
         draw_results(context.sides, path)
         assert path.read_bytes().startswith(b"\x89PNG")
 
 
-@given("settings of a load with {key} {value}")
+@given("load settings with {key} {value}")
 def write_settings(context, key, value):
     settings = {
         "sides": [{"name": "old", "addresses": ["127.0.0.1:1"]}],
@@ -152,6 +156,6 @@
     context.path.write_text(json.dumps(settings))
 
 
-@when('the program "load" checks them')
+@when('the program "load" checks these settings')
 def check_settings(context):
     run_program(context, "load", ["check", str(context.path)])
