--- a/features/patience.feature
+++ b/features/attempt_timeout.feature
@@ -1,7 +1,7 @@
-Feature: An attempt that takes too long is replaced, where that does no harm
+Feature: An attempt that times out is replaced if the request is idempotent
 
-  Scenario Outline: How long an attempt may take
-    Then a "<safety>" request with an aim of <aim> ms and <left> ms left, where <usual> ms are usual, is replaced after <patience>
+  Scenario Outline: The attempt timeout depends on aim, time left and typical latency
+    Then a "<safety>" request with an aim of <aim> ms and <left> ms left, whose typical latency is <usual> ms, is replaced after <patience>
 
     Examples:
       | safety         | aim | left | usual | patience |
--- a/features/drain.feature
+++ b/features/drain.feature
@@ -2,12 +2,12 @@
   Scenario: A backend server leaves
     Given a backend server behind its gate, and an entry
     When the backend server leaves under load with a long upload running
-    Then the upload arrived whole before the end of the drain
-    And every request was answered whole, once, or truly not run
-    And no new work reached the backend server more than 2000 ms after that
+    Then the complete upload arrived before the end of the drain
+    And every request was answered completely and run once, or reported as not run and not run
+    And no new work reached the backend server more than 2000 ms after it began to leave
 
   Scenario: A daemon drains
     Given a backend server behind its gate, and an entry
     When the daemon of the gate drains under load with a long upload running
-    Then the upload arrived whole before the end of the drain
-    And every request was answered whole, once, or truly not run
+    Then the complete upload arrived before the end of the drain
+    And every request was answered completely and run once, or reported as not run and not run
--- a/features/gate_path.feature
+++ b/features/gate_path.feature
@@ -1,33 +1,33 @@
 Feature: From entry through gate to backend server, every ending is true
   Scenario: A silent connection is found, and the backend server keeps its good name
     Given a backend server behind its gate, and an entry
-    When the kept connection goes silent before a non-idempotent request
+    When the kept-alive connection stops responding before a non-idempotent request
     Then "lost" ended as "connection-failed" with verdict "not-run" and blame "connection"
-    And the backend server was sent "lost" 0 times
-    And "again" got its own whole answer
+    And the backend server received "lost" 0 times
+    And "again" received its own complete answer
 
   Scenario: The check for a false "not run" catches a gate that does not bar
     Given a backend server behind a gate that forgets what it barred, and an entry
-    When the kept connection goes silent before a non-idempotent request
+    When the kept-alive connection stops responding before a non-idempotent request
     Then "lost" ended as "connection-failed" with verdict "not-run" and blame "connection"
-    And the backend server was sent "lost" 1 times
+    And the backend server received "lost" 1 times
 
   Scenario: A slow request is not taken for a silent connection
     Given a backend server behind its gate, and an entry
-    When a request takes 5000 ms on a kept connection that works
-    Then "slow" got its own whole answer
+    When a request takes 5000 ms on a working kept-alive connection
+    Then "slow" received its own complete answer
     And the backend server ran "slow" 1 times
 
   Scenario: A lost answer is told as may-have-run
     Given a backend server behind its gate, and an entry
-    When an answer is lost on a kept connection
+    When an answer is lost on a kept-alive connection
     Then "unheard" ended as "connection-failed" with verdict "may-have-run" and blame "connection"
     And the backend server ran "unheard" 1 times
 
   Scenario: A cancelled request is cancelled at the backend server
     Given a backend server behind its gate, and an entry
     When a caller cancels a request that the backend server is running
-    Then the backend server was told of the cancellation and its slot is free
+    Then the backend server was notified of the cancellation and its slot is free
 
   Scenario: The gate tells of a deadline before the entry gives up
     Given a backend server behind its gate, and an entry
@@ -38,7 +38,7 @@
     Given a backend server behind its gate, and an entry
     When the deadline of a request passes while it waits for a slot
     Then "waiting" ended as "deadline-exceeded" with verdict "not-run" and blame "overload"
-    And the backend server was sent "waiting" 0 times
+    And the backend server received "waiting" 0 times
 
   Scenario Outline: A broken answer of the backend server is told as such
     Given a backend server behind its gate, and an entry
@@ -60,17 +60,17 @@
     Given a backend server behind its gate, and an entry
     When a large upload is sent to a gate that refuses it
     Then "upload" ended as "leaving" with verdict "not-run" and blame "none"
-    And the body of the upload was not touched
+    And the body of the upload was not read
 
   Scenario: No schedule of bytes, faults and cancellations makes an ending untrue
     Given a backend server behind its gate, and an entry
     When 25 schedules run with split and delayed bytes, faults and cancellations
-    Then in no schedule a caller was told a lie or a request ran twice
+    Then no schedule shows a wrong outcome or a request that ran twice
 
   Scenario Outline: The check of schedules catches planted faults
     Given the same with the planted client fault "<fault>"
     When 8 schedules run with split and delayed bytes, faults and cancellations
-    Then some schedule shows a lie or a request that ran twice
+    Then some schedule shows a wrong outcome or a request that ran twice
 
     Examples:
       | fault     |
--- a/features/load.feature
+++ b/features/load.feature
@@ -33,14 +33,14 @@
 
   Scenario Outline: Callers behave as their class is configured
     Given backend servers "old" with 2 slots and "new" with 2 slots
-    When callers that <behaviour> run a load of 60 requests a second against both
+    When callers that <behave> run a load of 60 requests a second against both
     Then some requests are counted as "<ended>"
 
     Examples:
-      | behaviour               | ended   |
-      | give up early           | gave_up |
-      | retry immediately       | refused |
-      | retry when advised      | refused |
+      | behave                  | ended   |
+      | lose patience           | gave_up |
+      | come back at once       | refused |
+      | come back when told     | refused |
 
   Scenario: A report can be drawn as a chart
     Given backend servers "old" with 8 slots and "new" with 8 slots
--- a/features/log_service.feature
+++ b/features/log_service.feature
@@ -1,8 +1,8 @@
-Feature: The log service's client tells what an append may have done
-  Scenario Outline: Records come back in order, in memory and over HTTP
+Feature: The log service's client reports whether an append may have taken effect
+  Scenario Outline: Records are read in order, in memory and over HTTP
     Given a log service <where>
     When "a", "b" and "c" are appended to the stream "x"
-    Then the stream "x" gives "a", "b" and "c" at the offsets 0, 1 and 2
+    Then the stream "x" holds "a", "b" and "c" at the offsets 0, 1 and 2
     And the stream "y" is empty from offset 0 on
 
     Examples:
@@ -10,10 +10,10 @@
       | in memory |
       | over HTTP |
 
-  Scenario Outline: Each failure of an append is told for what it is
+  Scenario Outline: Each failure of an append raises the matching error
     Given a log service <where>
     When the log service has the fault <fault>
-    Then an append ends in <error> and leaves <count> records
+    Then an append raises <error> and leaves <count> records
 
     Examples:
       | where     | fault                  | error               | count |
@@ -26,10 +26,10 @@
 
   Scenario: An append to a closed port had no effect
     Given a log service over HTTP
-    When the log service ends
-    Then an append ends in LogUnavailableError
+    When the log service stops
+    Then an append raises LogUnavailableError
 
-  Scenario: Appends beyond the rate are refused without effect
+  Scenario: Appends above the rate limit are refused without effect
     Given a log service over HTTP
     When the log service has the fault appends_per_s=2
     And "a", "b" and "c" are appended to the stream "x"
@@ -53,6 +53,6 @@
     And 11 seconds pass at the log service
     Then reading the stream "x" from offset 0 reports 3 as oldest
 
-  Scenario: An unknown fault is refused
+  Scenario: A request to set an unknown fault is refused
     Given a log service over HTTP
     Then setting the fault "awya" is refused with status 400
--- a/features/path_watch.feature
+++ b/features/path_watch.feature
@@ -1,9 +1,9 @@
-Feature: A daemon avoids its own bad paths to gates
+Feature: A daemon avoids failing network paths to gates
 
   Background:
     Given a daemon that watches its paths
 
-  Scenario Outline: Only what speaks against the path makes it avoided
+  Scenario Outline: Only failures blamed on the path make it avoided
     When an attempt ends with blame "<blame>"
     Then the path is "<state>"
 
@@ -14,7 +14,7 @@
       | overload       | used    |
       | none           | used    |
 
-  Scenario: A path is tried again after a second, then less often
+  Scenario: A path is retried after a second, and later after each further failure
     When an attempt ends with blame "path"
     And 1100 ms pass on the path
     Then the path is "used"
@@ -22,11 +22,11 @@
     And 1100 ms pass on the path
     Then the path is "avoided"
 
-  Scenario: A gate that can't be asked about a request is avoided
-    When its gate can't be reached to ask about a request
+  Scenario: A gate that can't be reached for the state of a request is avoided
+    When its gate can't be reached for the state of a request
     Then the path is "avoided"
 
-  Scenario: An answer ends the avoidance
+  Scenario: A successful attempt ends the avoidance
     When an attempt ends with blame "path"
     And an attempt ends with blame "none"
     Then the path is "used"
--- a/features/steps/patience_steps.py
+++ b/features/steps/attempt_timeout_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the time that an attempt may take."""
+"""Steps for the timeout of an attempt."""
 
 from datetime import timedelta
 
@@ -12,15 +12,15 @@
 
 
 @then(
-    'a "{safety}" request with an aim of {aim:d} ms and {left:d} ms left, where '
-    "{usual:d} ms are usual, is replaced after {patience}"
+    'a "{safety}" request with an aim of {aim:d} ms and {left:d} ms left, whose '
+    "typical latency is {typical:d} ms, is replaced after {timeout}"
 )
-def check_patience(context, safety, aim, left, usual, patience):
+def check_attempt_timeout(context, safety, aim, left, typical, timeout):
     request = attrs.evolve(
         make_request(context), idempotent=safety == "idempotent", aim=aim * MILLISECOND
     )
-    found = compute_attempt_timeout(request, left * MILLISECOND, usual * MILLISECOND)
+    found = compute_attempt_timeout(request, left * MILLISECOND, typical * MILLISECOND)
     expected = None
-    if patience != "never":
-        expected = int(patience.removesuffix(" ms")) * MILLISECOND
+    if timeout != "never":
+        expected = int(timeout.removesuffix(" ms")) * MILLISECOND
     assert found == expected, found
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -8,7 +8,7 @@
 import attrs
 import detangle
 from behave import given, then, when
-from path_steps import PathWorld, yield_nothing
+from path_steps import RequestPathHarness, yield_nothing
 
 from wagtailstep.commands.explain_request import (
     count_causes,
@@ -53,7 +53,7 @@
         )
 
 
-class LoggedWorld(PathWorld):
+class LoggedWorld(RequestPathHarness):
     """A gate before a backend server, and an entry that sends to it."""
 
     async def start(self, **changes):
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -27,9 +27,9 @@
 SIDES = [LoadSide(name, [address]) for name, address in ADDRESSES.items()]
 LOOKUP = LoadClass("lookup", path="/lookup/1", headers={"fake-work-ms": "100"})
 BEHAVIOURS = {
-    "give up early": {"give_up_ms": 50, "give_up_share": 0.5},
-    "retry immediately": {"retries": 2, "waits_as_told": False},
-    "retry when advised": {"retries": 1},
+    "lose patience": {"give_up_ms": 50, "give_up_share": 0.5},
+    "come back at once": {"retries": 2, "waits_as_told": False},
+    "come back when told": {"retries": 1},
 }
 
 
--- a/features/steps/log_service_steps.py
+++ b/features/steps/log_service_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the log service's client and its stand-in."""
+"""Steps for the log service's client and its test double."""
 
 import asyncio
 import queue
@@ -23,7 +23,7 @@
 
 
 class LogServerThread:
-    """The stand-in on a port of the system's choice, in a thread of its own."""
+    """Runs the log server's test double on a free port, in a separate thread."""
 
     def __init__(self):
         self.ports = queue.Queue()
@@ -67,7 +67,7 @@
 
 
 @given("a log service in memory")
-def make_log_in_memory(context):
+def create_log_in_memory(context):
     start_runner(context)
     context.log_server = None
     context.clock = ManualClock()
@@ -75,7 +75,7 @@
 
 
 @given("a log service over HTTP")
-def make_log_over_http(context):
+def create_log_over_http(context):
     start_runner(context)
     server = start_log_server(context)
     context.log = HttpLogService(LogSettings(server.address, timeout_ms=TIMEOUT_MS))
@@ -89,13 +89,13 @@
 
 
 @when("the log service has the fault {name:w}={value}")
-def cause_log_fault(context, name, value):
+def set_log_fault(context, name, value):
     context.fault_name = name
     set_fault(context, name, True if value == "true" else int(value))
 
 
-@when("the log service ends")
-def end_log(context):
+@when("the log service stops")
+def stop_log(context):
     context.log_server.stop()
 
 
@@ -119,7 +119,7 @@
     return [(record.offset, record.data) for record in batch.records]
 
 
-@then('the stream "{stream}" gives "a", "b" and "c" at the offsets 0, 1 and 2')
+@then('the stream "{stream}" holds "a", "b" and "c" at the offsets 0, 1 and 2')
 def check_letters(context, stream):
     assert read_all(context, stream) == [(0, b"a"), (1, b"b"), (2, b"c")]
     batch = context.runner.run(context.log.read(stream, 1, limit=1))
@@ -133,14 +133,14 @@
     assert context.runner.run(context.log.oldest_offset(stream)) == 0
 
 
-@then("an append ends in {error} and leaves {count:d} records")
+@then("an append raises {error} and leaves {count:d} records")
 def check_append_error(context, error, count):
     check_error(context, error)
     set_fault(context, context.fault_name, 0 if "lost" in context.fault_name else False)
     assert len(read_all(context, "x")) == count
 
 
-@then("an append ends in {error:w}")
+@then("an append raises {error:w}")
 def check_error(context, error):
     try:
         context.runner.run(context.log.append("x", b"data"))
@@ -151,7 +151,7 @@
 
 
 @then('the stream "{stream}" has {count:d} records and {refused:d} append was refused')
-def check_rate(context, stream, count, refused):
+def check_rate_limit(context, stream, count, refused):
     assert len(read_all(context, stream)) == count
     assert context.refused == refused
 
--- a/features/steps/logging_steps.py
+++ b/features/steps/logging_steps.py
@@ -39,8 +39,8 @@
     return context.lines
 
 
-@given("a log with room for all its lines")
-def open_roomy_log(context):
+@given("a log with a buffer for all its lines")
+def open_large_log(context):
     open_log(context, 1 << 20)
 
 
@@ -50,12 +50,12 @@
 
 
 @when("{routine:d} routine lines and {failures:d} failures are logged within a second")
-def log_both(context, routine, failures):
+def log_routine_and_failures(context, routine, failures):
     for number in range(max(routine, failures)):
         if number < routine:
-            log_event(context.logger, "went-well", routine=True, number=number)
+            log_event(context.logger, "routine-event", routine=True, number=number)
         if number < failures:
-            log_event(context.logger, "went-wrong", number=number)
+            log_event(context.logger, "failure-event", number=number)
     log_event(context.logger, "last")
 
 
@@ -64,17 +64,17 @@
     context.count = count
     started = time.process_time()
     for number in range(count):
-        log_event(context.logger, "went-wrong", number=number)
+        log_event(context.logger, "failure-event", number=number)
     context.took_s = time.process_time() - started
 
 
-@then("that took no more than {limit:d} s of processor time")
+@then("logging took no more than {limit:d} s of processor time")
 def check_time(context, limit):
     assert context.took_s <= limit, context.took_s
 
 
-@when("the reader goes on and one more line is logged")
-def read_on(context):
+@when("the reader resumes and one more line is logged")
+def resume_reading(context):
     read_lines(context)
     log_event(context.logger, "last")
 
@@ -85,22 +85,22 @@
 
 @then("{routine:d} routine lines and {failures:d} failures are written")
 def check_written(context, routine, failures):
-    assert count_lines(context, "went-well") == routine
-    assert count_lines(context, "went-wrong") == failures
+    assert count_lines(context, "routine-event") == routine
+    assert count_lines(context, "failure-event") == failures
 
 
-def missing_lines(context, name):
+def sum_missing_lines(context, name):
     text = "\n".join(read_lines(context))
     return sum(int(number) for number in re.findall(rf"{name}=(\d+)", text))
 
 
-@then("{count:d} lines are said to be left out")
-def check_left_out(context, count):
-    assert missing_lines(context, "routine") == count, context.lines
+@then("{count:d} lines are reported as omitted")
+def check_omitted(context, count):
+    assert sum_missing_lines(context, "routine") == count, context.lines
 
 
-@then("all lines that are missing were counted")
+@then("all missing lines were counted")
 def check_counted(context):
-    written = count_lines(context, "went-wrong")
+    written = count_lines(context, "failure-event")
     assert written < context.count
-    assert written + missing_lines(context, "dropped") == context.count
+    assert written + sum_missing_lines(context, "dropped") == context.count
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -1,6 +1,7 @@
-"""Steps for entry, gate and backend server together, with everything but the table.
+"""Steps for requests from an entry through a gate to a backend server.
 
-All parts are the real ones; the network is in memory and time is virtual.
+The components are the real ones, without a table; the network is in memory and time
+is virtual.
 """
 
 import asyncio
@@ -36,8 +37,8 @@
 MILLISECOND = timedelta(milliseconds=1)
 
 
-class ForgetfulGate(GateController):
-    """Planted fault: says that an attempt is barred and does not bar it."""
+class UnenforcedRevocationGate(GateController):
+    """Planted fault: reports an attempt as revoked but still accepts it."""
 
     def handle(self, event):
         effects = super().handle(event)
@@ -47,7 +48,7 @@
         return effects
 
 
-class PathWorld:
+class RequestPathHarness:
     """One backend server, its gate, and the forwarder of another daemon."""
 
     def __init__(self, gate_class=GateController, client_class=HttpClient):
@@ -55,7 +56,7 @@
         self.clock = LoopClock()
         self.results = {}
         self.refused = set()
-        self.upload_chunks_taken = 0
+        self.upload_chunks_read = 0
         self.settings = DaemonSettings(
             "gate-1", "bole", "a:1", "a:2", "a:3", "127.0.0.1:4"
         )
@@ -64,14 +65,14 @@
             self.settings, self.blackboard, self.clock, random.Random(1)
         )
         self.gate = GateService(
-            self.settings, self.controller, self.make_client(), self.clock
+            self.settings, self.controller, self.create_client(), self.clock
         )
         self.app = ExchangeApp(self.gate.handle)
         self.server = HttpServer(self.app, self.app.announce_closing)
         entry_board = Blackboard(Member("entry-1", 1, "", "", "bole"))
-        self.forwarder = HttpForwarder(entry_board, self.make_client(), self.gate)
+        self.forwarder = HttpForwarder(entry_board, self.create_client(), self.gate)
 
-    def make_client(self):
+    def create_client(self):
         return self.client_class(self.settings.requests, self.clock)
 
     async def start(self, **changes):
@@ -89,7 +90,7 @@
         self.blackboard.targets[self.target_id] = target
 
     async def call(self, key, body=None, length=0, time_left_ms=60_000, **options):
-        """Send one request and keep how it ended."""
+        """Send one request and record its outcome."""
         time_left = time_left_ms * MILLISECOND
         idempotent = options.get("idempotent", False)
         headers = (
@@ -120,32 +121,32 @@
         except RequestError as error:
             self.results[key] = error
 
-    async def make_upload(self, chunks, pause_s):
+    async def generate_upload(self, chunks, pause_s):
         for _ in range(chunks):
-            self.upload_chunks_taken += 1
+            self.upload_chunks_read += 1
             yield UPLOAD_CHUNK
             await asyncio.sleep(pause_s)
 
-    def silence(self):
-        """Have the gate hear nothing on the connections that are open now."""
-        self.silent = list(self.server.state.connections)
-        for connection in self.silent:
+    def stop_reading(self):
+        """Stop the gate from reading on the connections that are open now."""
+        self.unresponsive_connections = list(self.server.state.connections)
+        for connection in self.unresponsive_connections:
             connection.transport.pause_reading()
 
     def deliver_after_revocation(self):
-        """Have the silent connections deliver what they were sent, just too late."""
+        """Let the gate read these connections again, just after the revocation."""
         handle = self.controller.handle
 
         def handle_and_deliver(event):
             effects = handle(event)
             if isinstance(event, AttemptRevocationRequested):
-                for connection in self.silent:
+                for connection in self.unresponsive_connections:
                     connection.transport.resume_reading()
             return effects
 
         self.controller.handle = handle_and_deliver
 
-    def runs(self, key):
+    def count_runs(self, key):
         return self.backend.counts.runs[key]
 
 
@@ -154,194 +155,196 @@
     yield b""
 
 
-def run_path(context, scenario, seed=1, net=None, **backend_changes):
+def run_harness(context, scenario, seed=1, net=None, **backend_changes):
     """Run a scenario in virtual time."""
 
     async def main():
-        world = PathWorld(context.gate_class, context.client_class)
-        context.path = world
-        await world.start(**backend_changes)
-        await scenario(world)
+        harness = RequestPathHarness(context.gate_class, context.client_class)
+        context.harness = harness
+        await harness.start(**backend_changes)
+        await scenario(harness)
         await asyncio.sleep(5)
-        await world.server.close()
-        await world.backend.stop()
+        await harness.server.close()
+        await harness.backend.stop()
 
     detangle.run(main, seed=seed, net=net or {})
 
 
 @given("a backend server behind its gate, and an entry")
-def use_path(context):
+def use_gate_and_entry(context):
     context.gate_class = GateController
     context.client_class = HttpClient
 
 
 @given('the same with the planted client fault "{name}"')
-def use_faulty_path_client(context, name):
+def use_faulty_client(context, name):
     context.gate_class = GateController
     context.client_class = CLIENT_FAULTS[name]
 
 
 @given("a backend server behind a gate that forgets what it barred, and an entry")
-def use_forgetful_gate(context):
-    context.gate_class = ForgetfulGate
+def use_unenforced_revocation_gate(context):
+    context.gate_class = UnenforcedRevocationGate
     context.client_class = HttpClient
 
 
-@when("the kept connection goes silent before a non-idempotent request")
-def go_silent(context):
-    async def scenario(world):
-        await world.call("warm")
-        world.silence()
-        world.deliver_after_revocation()
-        await world.call("lost")
-        await world.call("again", request_id="lost")
+@when("the kept-alive connection stops responding before a non-idempotent request")
+def stop_responding(context):
+    async def scenario(harness):
+        await harness.call("warm")
+        harness.stop_reading()
+        harness.deliver_after_revocation()
+        await harness.call("lost")
+        await harness.call("again", request_id="lost")
 
-    run_path(context, scenario)
+    run_harness(context, scenario)
 
 
-@when("a request takes {time_ms:d} ms on a kept connection that works")
+@when("a request takes {time_ms:d} ms on a working kept-alive connection")
 def run_slowly(context, time_ms):
-    async def scenario(world):
-        await world.call("warm")
-        await world.call("slow", work_ms=time_ms)
+    async def scenario(harness):
+        await harness.call("warm")
+        await harness.call("slow", work_ms=time_ms)
 
-    run_path(context, scenario)
+    run_harness(context, scenario)
 
 
-@when("an answer is lost on a kept connection")
+@when("an answer is lost on a kept-alive connection")
 def lose_answer(context):
-    async def scenario(world):
-        await world.call("warm")
-        running = asyncio.create_task(world.call("unheard", work_ms=500))
+    async def scenario(harness):
+        await harness.call("warm")
+        running = asyncio.create_task(harness.call("unheard", work_ms=500))
         await asyncio.sleep(0.1)
-        for connection in world.server.state.connections:
+        for connection in harness.server.state.connections:
             connection.transport.write = lambda data: None
         await running
 
-    run_path(context, scenario)
+    run_harness(context, scenario)
 
 
 @when("a caller cancels a request that the backend server is running")
 def cancel_running(context):
-    async def scenario(world):
-        task = asyncio.create_task(world.call("cancelled", work_ms=10_000))
+    async def scenario(harness):
+        task = asyncio.create_task(harness.call("cancelled", work_ms=10_000))
         await asyncio.sleep(0.1)
         task.cancel()
         await asyncio.sleep(0.1)
-        context.held = len(world.controller.queues[world.target_id].running)
+        context.occupied_slots = len(
+            harness.controller.queues[harness.target_id].running
+        )
 
-    run_path(context, scenario)
+    run_harness(context, scenario)
 
 
 @when("the backend server never answers a request with {time_ms:d} ms left")
 def never_answer(context, time_ms):
-    async def scenario(world):
-        world.backend.faults = Faults(hang_share=1.0)
-        await world.call("hanging", time_left_ms=time_ms)
+    async def scenario(harness):
+        harness.backend.faults = Faults(hang_share=1.0)
+        await harness.call("hanging", time_left_ms=time_ms)
 
-    run_path(context, scenario)
+    run_harness(context, scenario)
 
 
 @when("the deadline of a request passes while it waits for a slot")
 def wait_past_deadline(context):
-    async def scenario(world):
+    async def scenario(harness):
         running = [
-            asyncio.create_task(world.call(f"running-{n}", work_ms=1_000))
+            asyncio.create_task(harness.call(f"running-{n}", work_ms=1_000))
             for n in range(4)
         ]
         await asyncio.sleep(0.1)
-        await world.call("waiting", time_left_ms=200)
+        await harness.call("waiting", time_left_ms=200)
         await asyncio.gather(*running)
 
-    run_path(context, scenario)
+    run_harness(context, scenario)
 
 
 @when('the backend server has the fault "{name}"')
-def have_fault(context, name):
-    async def scenario(world):
-        world.backend.faults = Faults(**{name: 1.0})
-        await world.call("faulty")
+def set_backend_fault(context, name):
+    async def scenario(harness):
+        harness.backend.faults = Faults(**{name: 1.0})
+        await harness.call("faulty")
 
-    run_path(context, scenario)
+    run_harness(context, scenario)
 
 
 @when("the backend server has crashed")
 def crash(context):
-    async def scenario(world):
-        await world.backend.stop()
-        await world.call("unsent")
+    async def scenario(harness):
+        await harness.backend.stop()
+        await harness.call("unsent")
 
-    run_path(context, scenario)
+    run_harness(context, scenario)
 
 
 @when("a large upload is sent to a gate that refuses it")
 def refuse_upload(context):
-    async def scenario(world):
-        world.set_state(TargetState.LEAVING)
+    async def scenario(harness):
+        harness.set_state(TargetState.LEAVING)
         chunks = 100
-        body = world.make_upload(chunks, 0)
-        await world.call("upload", body, chunks * len(UPLOAD_CHUNK))
+        body = harness.generate_upload(chunks, 0)
+        await harness.call("upload", body, chunks * len(UPLOAD_CHUNK))
 
-    run_path(context, scenario)
+    run_harness(context, scenario)
 
 
 @when("the backend server leaves under load with a long upload running")
-def leave_under_load(context):
+def remove_under_load(context):
     context.leaving_s = 5.0
 
-    async def keep_calling(world, caller):
+    async def keep_calling(harness, caller):
         for number in range(100):
-            await world.call(f"{caller}-{number}", work_ms=20)
+            await harness.call(f"{caller}-{number}", work_ms=20)
             await asyncio.sleep(0.05)
 
-    async def scenario(world):
+    async def scenario(harness):
         chunks = 200
-        body = world.make_upload(chunks, 0.1)
+        body = harness.generate_upload(chunks, 0.1)
         upload = asyncio.create_task(
-            world.call("upload", body, chunks * len(UPLOAD_CHUNK))
+            harness.call("upload", body, chunks * len(UPLOAD_CHUNK))
         )
-        callers = [asyncio.create_task(keep_calling(world, n)) for n in range(8)]
+        callers = [asyncio.create_task(keep_calling(harness, n)) for n in range(8)]
         await asyncio.sleep(1)
-        world.set_state(TargetState.LEAVING)
-        await world.backend.drain()
-        context.uploads_run = world.runs("upload")
+        harness.set_state(TargetState.LEAVING)
+        await harness.backend.drain()
+        context.uploads_run = harness.count_runs("upload")
         await asyncio.gather(upload, *callers)
 
-    run_path(context, scenario)
+    run_harness(context, scenario)
 
 
 @when("the daemon of the gate drains under load with a long upload running")
 def drain_under_load(context):
-    async def keep_calling(world, caller):
+    async def keep_calling(harness, caller):
         for number in range(40):
-            await world.call(f"{caller}-{number}", work_ms=20)
+            await harness.call(f"{caller}-{number}", work_ms=20)
             await asyncio.sleep(0.05)
 
-    async def scenario(world):
+    async def scenario(harness):
         chunks = 100
-        body = world.make_upload(chunks, 0.1)
+        body = harness.generate_upload(chunks, 0.1)
         upload = asyncio.create_task(
-            world.call("upload", body, chunks * len(UPLOAD_CHUNK))
+            harness.call("upload", body, chunks * len(UPLOAD_CHUNK))
         )
-        callers = [asyncio.create_task(keep_calling(world, n)) for n in range(8)]
+        callers = [asyncio.create_task(keep_calling(harness, n)) for n in range(8)]
         await asyncio.sleep(1)
-        world.server.stop_accepting()
-        context.drained = await world.server.drain(timedelta(seconds=60))
-        context.uploads_run = world.runs("upload")
-        await world.server.close()
+        harness.server.stop_accepting()
+        context.drained = await harness.server.drain(timedelta(seconds=60))
+        context.uploads_run = harness.count_runs("upload")
+        await harness.server.close()
         await asyncio.gather(upload, *callers)
 
-    run_path(context, scenario)
+    run_harness(context, scenario)
 
 
 @when("{count:d} schedules run with split and delayed bytes, faults and cancellations")
 def run_schedules(context, count):
-    context.worlds = []
+    context.harnesses = []
 
-    async def keep_calling(world, caller, rng):
+    async def keep_calling(harness, caller, rng):
         for number in range(6):
             idempotent = rng.random() < 0.5
-            call = world.call(
+            call = harness.call(
                 f"{caller}-{number}",
                 idempotent=idempotent,
                 time_left_ms=rng.choice((50, 2_000, 20_000)),
@@ -356,106 +359,114 @@
 
     for seed in range(count):
 
-        async def scenario(world, seed=seed):
-            context.worlds.append(world)
+        async def scenario(harness, seed=seed):
+            context.harnesses.append(harness)
             rng = random.Random(seed)
-            world.backend.faults = Faults(
+            harness.backend.faults = Faults(
                 truncate_share=0.1, lose_share=0.1, hang_share=0.05
             )
-            callers = [keep_calling(world, n, rng) for n in range(6)]
+            callers = [keep_calling(harness, n, rng) for n in range(6)]
             await asyncio.gather(*callers)
 
         net = {"latency": (0.0005, 0.02), "fragment": 0.3}
-        run_path(context, scenario, seed=seed, net=net)
+        run_harness(context, scenario, seed=seed, net=net)
 
 
 @then('"{key}" ended as "{reason}" with verdict "{verdict}" and blame "{blame}"')
 def check_error(context, key, reason, verdict, blame):
-    error = context.path.results[key]
+    error = context.harness.results[key]
     assert isinstance(error, RequestError), error
     found = (error.reason, error.verdict.value, error.blame.value)
     assert found == (reason, verdict, blame), (found, str(error))
 
 
-@then('"{key}" got its own whole answer')
+@then('"{key}" received its own complete answer')
 def check_answered(context, key):
-    assert context.path.results[key] == (200, f"{key}\n"), context.path.results[key]
+    assert context.harness.results[key] == (200, f"{key}\n"), context.harness.results[
+        key
+    ]
 
 
 @then('the backend server ran "{key}" {count:d} times')
 def check_runs(context, key, count):
-    assert context.path.runs(key) == count, context.path.backend.counts
+    assert context.harness.count_runs(key) == count, context.harness.backend.counts
 
 
-@then('the backend server was sent "{key}" {count:d} times')
-def check_started(context, key, count):
-    counts = context.path.backend.counts
+@then('the backend server received "{key}" {count:d} times')
+def check_received_count(context, key, count):
+    counts = context.harness.backend.counts
     assert counts.started[key] == count, counts
 
 
-@then("the backend server was told of the cancellation and its slot is free")
+@then("the backend server was notified of the cancellation and its slot is free")
 def check_cancellation(context):
-    assert context.path.backend.counts.cancelled == 1, context.path.backend.counts
-    assert context.held == 0, context.held
+    assert context.harness.backend.counts.cancelled == 1, context.harness.backend.counts
+    assert context.occupied_slots == 0, context.occupied_slots
 
 
-@then("the body of the upload was not touched")
-def check_untouched(context):
-    assert context.path.upload_chunks_taken == 0, context.path.upload_chunks_taken
+@then("the body of the upload was not read")
+def check_unread(context):
+    assert context.harness.upload_chunks_read == 0, context.harness.upload_chunks_read
 
 
-@then("the upload arrived whole before the end of the drain")
+@then("the complete upload arrived before the end of the drain")
 def check_upload(context):
     assert context.uploads_run == 1
-    assert context.path.results["upload"] == (200, "upload\n")
-    assert context.path.upload_chunks_taken >= 100
+    assert context.harness.results["upload"] == (200, "upload\n")
+    assert context.harness.upload_chunks_read >= 100
 
 
-@then("every request was answered whole, once, or truly not run")
+@then(
+    "every request was answered completely and run once, or reported as not run and "
+    "not run"
+)
 def check_outcomes(context):
     answered = 0
-    for key, result in context.path.results.items():
+    for key, result in context.harness.results.items():
         if isinstance(result, RequestError):
             assert result.verdict.value == "not-run", (key, str(result))
-            assert context.path.runs(key) == 0, key
+            assert context.harness.count_runs(key) == 0, key
         else:
             answered += 1
             assert result == (200, f"{key}\n"), (key, result)
-            assert context.path.runs(key) == 1, key
-    assert 50 < answered < len(context.path.results), answered
+            assert context.harness.count_runs(key) == 1, key
+    assert 50 < answered < len(context.harness.results), answered
 
 
-@then("no new work reached the backend server more than {limit_ms:d} ms after that")
-def check_late_work(context, limit_ms):
-    late_ms = context.path.backend.counts.late_work_ms
+@then(
+    "no new work reached the backend server more than {limit_ms:d} ms after it began "
+    "to leave"
+)
+def check_no_late_work(context, limit_ms):
+    late_ms = context.harness.backend.counts.late_work_ms
     assert late_ms <= limit_ms, late_ms
 
 
-def find_violations(worlds):
-    """Return every ending that was not true, and the kinds of endings."""
-    kinds = set()
+def find_violations(harnesses):
+    """Return all wrong outcomes, and the set of outcome types that occurred."""
+    outcomes = set()
     violations = []
-    for seed, world in enumerate(worlds):
-        for key, result in world.results.items():
-            started = world.backend.counts.started[key]
+    for seed, harness in enumerate(harnesses):
+        for key, result in harness.results.items():
+            started = harness.backend.counts.started[key]
             is_error = isinstance(result, RequestError)
-            kind = result.verdict.value if is_error else "answered"
-            kinds.add(kind)
-            is_lie = kind == "not-run" and started
-            is_wrong = kind == "answered" and result != (200, f"{key}\n")
-            if started > 1 or is_lie or is_wrong:
+            outcome = result.verdict.value if is_error else "answered"
+            outcomes.add(outcome)
+            is_wrong_not_run = outcome == "not-run" and started
+            is_wrong_answer = outcome == "answered" and result != (200, f"{key}\n")
+            if started > 1 or is_wrong_not_run or is_wrong_answer:
                 violations.append((seed, key, started, str(result)))
-    return violations, kinds
+    return violations, outcomes
 
 
-@then("in no schedule a caller was told a lie or a request ran twice")
+@then("no schedule shows a wrong outcome or a request that ran twice")
 def check_schedules(context):
-    violations, kinds = find_violations(context.worlds)
+    violations, outcomes = find_violations(context.harnesses)
     assert not violations, violations
-    assert kinds == {"answered", "not-run", "may-have-run"}, kinds
+    assert outcomes == {"answered", "not-run", "may-have-run"}, outcomes
 
 
-@then("some schedule shows a lie or a request that ran twice")
+@then("some schedule shows a wrong outcome or a request that ran twice")
 def check_schedules_catch(context):
-    violations, _ = find_violations(context.worlds)
+    violations, _ = find_violations(context.harnesses)
     assert violations
--- a/features/steps/path_watch_steps.py
+++ b/features/steps/path_watch_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the paths of a daemon to gates."""
+"""Steps for the network paths from a daemon to gates."""
 
 import random
 from datetime import timedelta
@@ -21,10 +21,10 @@
 
 
 @given("a daemon that watches its paths")
-def make_watch(context):
+def create_path_watch(context):
     member = Member("d1", 1, "127.0.0.1:7003", "127.0.0.1:7002", "bole")
-    other = Member("d2", 1, "127.0.0.1:7103", "127.0.0.1:7102", "piassa")
-    context.board = Blackboard(member, members={"d1": member, "d2": other})
+    peer = Member("d2", 1, "127.0.0.1:7103", "127.0.0.1:7102", "piassa")
+    context.board = Blackboard(member, members={"d1": member, "d2": peer})
     target = Target("contracts/i-2", "contracts", "d2", "piassa")
     context.board.targets[target.target_id] = target
     context.clock = ManualClock()
@@ -42,8 +42,8 @@
     )
 
 
-@when("its gate can't be reached to ask about a request")
-def lose_gate(context):
+@when("its gate can't be reached for the state of a request")
+def disconnect_gate(context):
     context.watch.handle(GateUnresponsive("127.0.0.1:7102"))
 
 
--- a/features/steps/peer_channel_steps.py
+++ b/features/steps/peer_channel_steps.py
@@ -19,10 +19,10 @@
 )
 from wagtailstep.utils.clock import ManualClock
 
-DELIVERY_LIMIT_S = 10
+DELIVERY_TIMEOUT_S = 10
 
 
-def make_channel(daemon_id, address, clock):
+def create_channel(daemon_id, address, clock):
     settings = DaemonSettings(
         daemon_id, "bole", "127.0.0.1:1", "127.0.0.1:1", address, "127.0.0.1:1"
     )
@@ -31,7 +31,7 @@
 
 @attrs.define
 class Receiver:
-    """Messages that a channel delivered, and a way to wait for one."""
+    """Records the messages that a channel delivers and can wait for the first."""
 
     messages: list = attrs.field(factory=list)
     arrived: asyncio.Event = attrs.field(factory=asyncio.Event)
@@ -41,7 +41,7 @@
         self.arrived.set()
 
     async def wait(self):
-        await asyncio.wait_for(self.arrived.wait(), DELIVERY_LIMIT_S)
+        await asyncio.wait_for(self.arrived.wait(), DELIVERY_TIMEOUT_S)
 
 
 def run(context, coroutine):
@@ -49,14 +49,14 @@
 
 
 @given("two control channels on loopback")
-def make_channels(context):
+def create_channels(context):
     context.runner = asyncio.Runner()
     context.add_cleanup(context.runner.close)
     context.channel_clock = ManualClock()
     context.receivers = [Receiver(), Receiver()]
     context.channels = []
     for name, receiver in zip(("first", "second"), context.receivers, strict=True):
-        channel = make_channel(name, "127.0.0.1:0", context.channel_clock)
+        channel = create_channel(name, "127.0.0.1:0", context.channel_clock)
         run(context, channel.start(receiver.deliver))
         context.channels.append(channel)
         context.add_cleanup(run, context, channel.close())
@@ -91,7 +91,7 @@
 
 def wait_for_sequences(context, count):
     async def wait():
-        async with asyncio.timeout(DELIVERY_LIMIT_S):
+        async with asyncio.timeout(DELIVERY_TIMEOUT_S):
             while len(context.receivers[1].messages) < count:
                 await asyncio.sleep(0.01)
 
@@ -105,14 +105,14 @@
     assert found == [3, 1, 2], found
 
 
-@when("the connection of the first one grows old and is swept")
-def sweep(context):
+@when("the connection of the first one reaches its maximum age and is closed")
+def expire_connection(context):
     first, second = context.channels
     wait_for_sequences(context, 1)
     context.channel_clock.advance(timedelta(milliseconds=MAX_CONNECTION_AGE_MS))
 
     async def wait():
-        async with asyncio.timeout(DELIVERY_LIMIT_S):
+        async with asyncio.timeout(DELIVERY_TIMEOUT_S):
             while second.address in first.connections:
                 await asyncio.sleep(0.01)
 
@@ -133,8 +133,8 @@
     assert receiver.messages == [("first", Ping(1, first.address))]
 
 
-@when("the first one sends 500 pings to a peer that is not there")
-def send_to_nobody(context):
+@when("the first one sends 500 pings to an absent peer")
+def send_to_absent_peer(context):
     first = context.channels[0]
     # Port 1 is privileged and nobody listens there.
     context.absent = "127.0.0.1:1"
@@ -146,7 +146,7 @@
     run(context, send())
 
 
-@then("at most {count:d} pings wait and the others were dropped")
+@then("at most {count:d} pings are queued and the others were dropped")
 def check_dropped(context, count):
     first = context.channels[0]
     waiting = len(first.connections[context.absent].pending)
@@ -161,7 +161,7 @@
 
 
 @when("the ping is dropped at its time limit")
-def drop_late(context):
+def expire_ping(context):
     first, second = context.channels
     limit = timedelta(milliseconds=CONNECT_TIMEOUT_MS)
     context.channel_clock.advance(limit)
@@ -170,14 +170,14 @@
         while first.connections[second.address].pending:
             await asyncio.sleep(0.01)
 
-    run(context, asyncio.wait_for(wait(), DELIVERY_LIMIT_S))
+    run(context, asyncio.wait_for(wait(), DELIVERY_TIMEOUT_S))
     assert first.counters.dropped == 1
 
 
 @when("a successor starts at the address of the second one")
 def start_successor(context):
     address = context.channels[1].address
-    successor = make_channel("successor", address, context.channel_clock)
+    successor = create_channel("successor", address, context.channel_clock)
     context.receivers[1] = Receiver()
     run(context, successor.start(context.receivers[1].deliver))
     context.channels[1] = successor
@@ -200,13 +200,13 @@
         socket.connect(f"tcp://{second.address}")
         for _ in range(count):
             socket.send_multipart([b"rogue", b"\xff\x00 not a message"])
-        async with asyncio.timeout(DELIVERY_LIMIT_S):
+        async with asyncio.timeout(DELIVERY_TIMEOUT_S):
             while second.counters.malformed < count:
                 await asyncio.sleep(0.01)
         socket.close(0)
 
-    context.channel_lines = []
-    LOGGER.addFilter(lambda record: context.channel_lines.append(record) or True)
+    context.channel_log_records = []
+    LOGGER.addFilter(lambda record: context.channel_log_records.append(record) or True)
     context.add_cleanup(LOGGER.filters.clear)
     run(context, send())
 
@@ -214,17 +214,17 @@
 @then("the second one logged {lines:d} malformed message of {count:d}")
 def check_malformed(context, lines, count):
     assert context.channels[1].counters.malformed == count
-    assert len(context.channel_lines) == lines
+    assert len(context.channel_log_records) == lines
 
 
-@given('two in-memory channels with a cut from "{sender}" to "{receiver}"')
-def make_memory_channels(context, sender, receiver):
+@given('two in-memory channels with a partition from "{sender}" to "{receiver}"')
+def create_memory_channels(context, sender, receiver):
     context.network = MemoryNetwork(random.Random(5))
     context.network.rules.block([sender], [receiver])
     context.received = {"a": [], "b": []}
 
 
-@when("the in-memory network doubles and delays all messages")
+@when("the in-memory network duplicates and delays all messages")
 def set_rules(context):
     context.network.rules.duplication = 1.0
     context.network.rules.delay_ms = (0.0, 5.0)
@@ -232,23 +232,25 @@
 
 
 @when("each in-memory channel sends {count:d} pings to the other")
-def exchange(context, count):
-    async def run_exchange():
+def send_pings_both_ways(context, count):
+    async def exchange_pings():
         channels = {
             name: InMemoryPeerChannel(context.network, name, f"{name}:1")
             for name in context.received
         }
         for name, channel in channels.items():
-            taken = context.received[name]
+            received_by_name = context.received[name]
             await channel.start(
-                lambda sender, message, taken=taken: taken.append(message)
+                lambda sender, message, received_by_name=received_by_name: (
+                    received_by_name.append(message)
+                )
             )
         for sequence in range(count):
             channels["a"].send("b:1", Ping(sequence, "a:1"))
             channels["b"].send("a:1", Ping(sequence, "b:1"))
         await asyncio.sleep(0.02)
 
-    asyncio.run(run_exchange())
+    asyncio.run(exchange_pings())
 
 
 @then('"a" received {first:d} pings and "b" received {second:d}')
