--- a/features/platform_adapter.feature
+++ b/features/platform_adapter.feature
@@ -1,6 +1,6 @@
 Feature: The adapter translates the platform's store, configuration and heartbeats
 
-  Scenario Outline: The calls of all daemons that wait for changes stay few
+  Scenario Outline: All daemons that wait for changes together make few calls
     Given the platform's store with version 4
     When one of <daemons> daemons follows the table for 1500 s without a change
     Then all of them make at most <calls> calls a second
@@ -14,11 +14,11 @@
   Scenario: A configuration becomes a table
     Given the platform's example configuration
     Then its version is 7
-    And callers may send bodies of 67108864 bytes by it
+    And it allows request bodies of 67108864 bytes
     And route "r-hh2b9wu" is "unsafe" with timeout 3000 ms, aim 800 ms and 2 attempts
     And route "r-zji9n73" is split "huvo11a*90 wuno96b*10"
 
-  Scenario Outline: A configuration that can't be read is refused, whatever is wrong
+  Scenario Outline: An invalid configuration is refused
     Given the platform's example configuration with <old> in place of <new>
     Then it can't be read
 
@@ -32,27 +32,27 @@
       | "routes"    | "roads"      |
       | ,1,"huvo11a"| ,1,null      |
 
-  Scenario: No bytes of another writer do harm
-    Then 300 random configurations are read or refused
-    And 300 random heartbeats are read or refused
+  Scenario: Arbitrary bytes from other writers are refused without a crash
+    Then each of 300 random configurations is either read or refused
+    And each of 300 random heartbeats is either read or refused
 
   Scenario: The newest table is read, then each change at once
     Given the platform's store with version 7
     When a daemon follows the table and version 9 is published after 2 s
-    Then it took the versions 7 9
-    And version 9 was taken within 50 ms
+    Then it received the versions 7 9
+    And version 9 was received within 50 ms
     And the store was called 3 times
 
-  Scenario: Lost history is no lost change
+  Scenario: Changes are found although the store has lost their history
     Given the platform's store with version 7
-    When a daemon follows the table and history is lost with version 9 after 2 s
-    Then it took the versions 7 9
+    When a daemon follows the table and the history of version 9 is lost after 2 s
+    Then it received the versions 7 9
 
-  Scenario Outline: A daemon takes a version soon after the store is back
+  Scenario Outline: A daemon applies a new version soon after the store recovers
     Given the platform's store with version 7
-    When a daemon follows the table through 5 s of "<fault>" with version 9 inside
-    Then it took the versions 7 9
-    And version 9 was taken within <limit_ms> ms after the fault
+    When a daemon follows the table through 5 s of "<fault>" and version 9 is published meanwhile
+    Then it received the versions 7 9
+    And version 9 was received within <limit_ms> ms after the fault
 
     Examples:
       | fault   | limit_ms |
@@ -60,18 +60,18 @@
       | silent  | 12000    |
       | garbled | 3000     |
 
-  Scenario: Of any two daemons that register at least one finds the other
+  Scenario: Of any two registering daemons at least one finds the other
     Given the platform's store with version 7
     When 5 daemons register and list members at random times
     Then of any two of them at least one knows the other
 
-  Scenario: An append without an answer is not taken for a refusal
+  Scenario: An append without a response is not mistaken for a refused one
     Given the platform's store with version 7
-    When the answer of an append is lost
+    When the response to an append is lost
     Then the append may have taken effect
 
-  Scenario Outline: A heartbeat becomes an announcement, or nothing
-    When a heartbeat says <body>
+  Scenario Outline: A valid heartbeat becomes an announcement, others are ignored
+    When a heartbeat has the body <body>
     Then it announces "<announced>"
 
     Examples:
--- a/features/programs.feature
+++ b/features/programs.feature
@@ -1,5 +1,5 @@
-Feature: A wrong argument gives one line and exit code 2
-  Scenario Outline: Nothing is started and no traceback is shown
+Feature: A wrong argument prints one line and gives exit code 2
+  Scenario Outline: A wrong argument starts nothing and shows no traceback
     When the program "<program>" runs with "<arguments>"
     Then it ends with code <code> and one line that contains "<text>"
 
@@ -26,11 +26,11 @@
       | fakes    | backends /nowhere.json                     | 2    | /nowhere.json: can't be read |
       | platform | check                                      | 2    | it names the settings file   |
 
-  Scenario: A daemon whose address is taken says so
-    Given a settings file whose caller address is taken
+  Scenario: A daemon whose address is in use reports it
+    Given a settings file whose caller address is in use
     When the daemon is run with that file
     Then it ends with code 2 and one line that contains "can't be used"
 
-  Scenario: The platform's program loads nothing that follows a log
+  Scenario: The platform's program loads no module that needs the log service
     When a fresh interpreter loads the platform's program
-    Then no module of log, evidence or ejection is loaded
+    Then no module of the log client, evidence or ejection is loaded
--- a/features/published_table.feature
+++ b/features/published_table.feature
@@ -1,11 +1,11 @@
-Feature: A published table is in force everywhere and never goes back
+Feature: A published table comes into force everywhere and never reverts
 
   Background:
-    Given 6 daemons that take published tables
+    Given 6 daemons that follow published tables
 
   Scenario: A version that one daemon reads reaches all
     When daemon 0 reads version 7 from the store
-    And 3 s pass among the daemons
+    And 3 s pass for all daemons
     Then all daemons have version 7 in force
 
   Scenario: An older version is never put in force
@@ -13,17 +13,17 @@
     And daemon 0 reads version 5 from the store
     Then daemon 0 has version 7 in force
 
-  Scenario: A daemon that the store turns away gets the table from the others
-    Given daemon 5 hears no push
+  Scenario: A daemon that can't read the store gets the table from its peers
+    Given daemon 5 receives no pushed table
     When daemon 0 reads version 7 from the store
-    And 12 s pass among the daemons
+    And 12 s pass for all daemons
     Then all daemons have version 7 in force
 
-  Scenario: A document that can't be read changes nothing
+  Scenario: An unreadable document changes nothing
     When daemon 0 reads version 7 from the store
     And daemon 0 reads an unreadable version 9 from the store
     Then daemon 0 has version 7 in force
 
-  Scenario: Services of a small table are looked for before anyone asks
+  Scenario: The services of a small table are requested before the first request
     When daemon 0 reads version 7 from the store
-    Then daemon 0 wants the service "contracts"
+    Then daemon 0 requests the targets of service "contracts"
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -11,7 +11,7 @@
 import msgspec
 from behave import given, then, when
 from hypothesis import HealthCheck, strategies
-from hypothesis import given as given_any
+from hypothesis import given as property_given
 from hypothesis import settings as hypothesis_settings
 
 from wagtailstep.commands.read_settings import structure_settings
@@ -62,7 +62,7 @@
 }
 
 
-def configure(version):
+def build_configuration(version):
     return CONFIGURATION.replace('"r7"', f'"r{version}"').encode()
 
 
@@ -77,7 +77,7 @@
     assert build_table(context.document).version == version
 
 
-@then("callers may send bodies of {size:d} bytes by it")
+@then("it allows request bodies of {size:d} bytes")
 def check_limit(context, size):
     assert build_table(context.document).max_body_bytes == size
 
@@ -101,12 +101,12 @@
 
 
 @given("the platform's example configuration with {old} in place of {new}")
-def spoil_configuration(context, old, new):
+def corrupt_configuration(context, old, new):
     assert new in CONFIGURATION
-    context.spoiled = CONFIGURATION.replace(new, old, 1).encode()
+    context.corrupt_data = CONFIGURATION.replace(new, old, 1).encode()
 
 
-def read_configuration(data):
+def is_readable(data):
     """Return whether a configuration can be read."""
     try:
         version = msgspec.json.decode(data)["version"]
@@ -123,10 +123,10 @@
 @then("it can't be read")
 def check_unreadable(context):
     try:
-        document = find_document(KeyedRecords({"config": context.spoiled}, 1))
+        document = find_document(KeyedRecords({"config": context.corrupt_data}, 1))
     except DecodeError:
         return
-    assert not read_configuration(document.data)
+    assert not is_readable(document.data)
 
 
 def json_values():
@@ -139,26 +139,26 @@
     )
     return strategies.recursive(
         scalars,
-        lambda inner: strategies.one_of(
-            strategies.lists(inner, max_size=4),
-            strategies.dictionaries(strategies.text(max_size=8), inner, max_size=4),
+        lambda children: strategies.one_of(
+            strategies.lists(children, max_size=4),
+            strategies.dictionaries(strategies.text(max_size=8), children, max_size=4),
         ),
         max_leaves=12,
     )
 
 
-def run_any(count, strategy, check):
-    fixed = hypothesis_settings(
+def run_property_check(count, strategy, check):
+    configured = hypothesis_settings(
         max_examples=count,
         derandomize=True,
         deadline=None,
         database=None,
         suppress_health_check=[HealthCheck.too_slow],
     )
-    fixed(given_any(strategy)(check))()
+    configured(property_given(strategy)(check))()
 
 
-@then("{count:d} random configurations are read or refused")
+@then("each of {count:d} random configurations is either read or refused")
 def check_random_configurations(context, count):
     example = json.loads(CONFIGURATION)
 
@@ -167,13 +167,13 @@
             **example,
             "routes": {"columns": columns, "rows": [row]},
         }
-        read_configuration(json.dumps(changed).encode())
+        is_readable(json.dumps(changed).encode())
 
     columns = strategies.one_of(
         strategies.just(example["routes"]["columns"]),
         strategies.lists(strategies.text(max_size=6), max_size=10),
     )
-    run_any(
+    run_property_check(
         count,
         strategies.tuples(strategies.lists(json_values(), max_size=12), columns),
         lambda pair: check(*pair),
@@ -189,14 +189,18 @@
         return None
 
 
-@then("{count:d} random heartbeats are read or refused")
+@then("each of {count:d} random heartbeats is either read or refused")
 def check_random_heartbeats(context, count):
     names = ["service", "address", "slots", "state", "warmup-left", "sequence", "born"]
-    beats = strategies.one_of(
+    heartbeats = strategies.one_of(
         strategies.dictionaries(strategies.sampled_from(names), json_values()),
         json_values(),
     )
-    run_any(count, beats, lambda beat: read_heartbeat(json.dumps(beat).encode()))
+    run_property_check(
+        count,
+        heartbeats,
+        lambda heartbeat: read_heartbeat(json.dumps(heartbeat).encode()),
+    )
 
 
 @given("the platform's store with version {version:d}")
@@ -204,36 +208,36 @@
     context.first_version = version
 
 
-async def open_store(context):
-    """Start the stand-in and return it with a client."""
+async def start_store(context):
+    """Start the store's test double and return it with a client."""
     store = StandInStore()
-    store.put("keyed.op", "config", configure(context.first_version))
+    store.put("keyed.op", "config", build_configuration(context.first_version))
     detangle.spawn(store.start(STORE), host="store")
     await asyncio.sleep(0.1)
     return store, PlatformStore(StoreSettings(STORE, 1_000), LoopClock())
 
 
-def follow(context, play, daemons=1):
-    """Follow the table while a coroutine plays what happens at the store."""
-    context.taken = []
+def follow_table(context, change_store, daemons=1):
+    """Follow the table while a coroutine changes the store."""
+    context.received_versions = []
 
     async def main():
         loop = asyncio.get_running_loop()
-        store, client = await open_store(context)
+        store, client = await start_store(context)
 
-        def take(event):
-            context.taken.append((loop.time(), event.document.version))
+        def record_version(event):
+            context.received_versions.append((loop.time(), event.document.version))
 
         follower = TableFollower(
             client,
             find_document,
-            take,
+            record_version,
             lambda reachable: None,
             random.Random(1),
             lambda: daemons,
         )
         task = asyncio.create_task(follower.run())
-        await play(store)
+        await change_store(store)
         task.cancel()
         context.calls = store.calls
 
@@ -241,11 +245,11 @@
 
 
 @when("one of {daemons:d} daemons follows the table for {seconds:d} s without a change")
-def follow_calmly(context, daemons, seconds):
-    async def play(store):
+def follow_unchanged_table(context, daemons, seconds):
+    async def change_store(store):
         await asyncio.sleep(seconds)
 
-    follow(context, play, daemons)
+    follow_table(context, change_store, daemons)
     context.calls_per_s = daemons * len(context.calls) / seconds
 
 
@@ -259,71 +263,73 @@
     "{seconds:d} s"
 )
 def publish_version(context, version, seconds):
-    async def play(store):
+    async def change_store(store):
         await asyncio.sleep(seconds)
-        store.put("keyed.op", "config", configure(version))
+        store.put("keyed.op", "config", build_configuration(version))
         context.changed_at = asyncio.get_running_loop().time()
         await asyncio.sleep(1)
 
-    follow(context, play)
+    follow_table(context, change_store)
 
 
 @when(
-    "a daemon follows the table and history is lost with version {version:d} after "
+    "a daemon follows the table and the history of version {version:d} is lost after "
     "{seconds:d} s"
 )
 def lose_history(context, version, seconds):
-    async def play(store):
+    async def change_store(store):
         await asyncio.sleep(seconds)
         store.faults.status = 503
         await asyncio.sleep(11)
-        store.put("keyed.op", "config", configure(version))
+        store.put("keyed.op", "config", build_configuration(version))
         store.get_topic("keyed.op").compact()
         store.faults.status = 0
         await asyncio.sleep(5)
 
-    follow(context, play)
+    follow_table(context, change_store)
 
 
 @when(
-    'a daemon follows the table through {seconds:d} s of "{fault}" with version '
-    "{version:d} inside"
+    'a daemon follows the table through {seconds:d} s of "{fault}" and version '
+    "{version:d} is published meanwhile"
 )
-def follow_through(context, seconds, fault, version):
-    async def play(store):
+def follow_through_fault(context, seconds, fault, version):
+    async def change_store(store):
         await asyncio.sleep(1)
         store.faults.status = 503 if fault == "busy" else 0
         store.faults.silent = fault == "silent"
         store.faults.truncated_answers = fault == "garbled"
         await asyncio.sleep(seconds / 2)
-        store.put("keyed.op", "config", configure(version))
+        store.put("keyed.op", "config", build_configuration(version))
         await asyncio.sleep(seconds / 2)
         store.faults.status, store.faults.silent = 0, False
         store.faults.truncated_answers = False
         context.changed_at = asyncio.get_running_loop().time()
         await asyncio.sleep(15)
 
-    follow(context, play)
+    follow_table(context, change_store)
 
 
-@then("it took the versions {versions}")
-def check_taken(context, versions):
+@then("it received the versions {versions}")
+def check_received_versions(context, versions):
     found = []
-    for _, version in context.taken:
+    for _, version in context.received_versions:
         if version not in found:
             found.append(version)
-    assert found == [int(word) for word in versions.split()], context.taken
+    assert found == [int(word) for word in versions.split()], context.received_versions
 
 
-@then("version {version:d} was taken within {limit:d} ms")
-def check_taken_soon(context, version, limit):
-    taken_at = min(at for at, taken in context.taken if taken == version)
-    assert (taken_at - context.changed_at) * 1_000 <= limit, taken_at
+@then("version {version:d} was received within {limit:d} ms")
+def check_received_soon(context, version, limit):
+    received_at = min(
+        at for at, received in context.received_versions if received == version
+    )
+    assert (received_at - context.changed_at) * 1_000 <= limit, received_at
 
 
-@then("version {version:d} was taken within {limit:d} ms after the fault")
-def check_taken_after(context, version, limit):
-    check_taken_soon(context, version, limit)
+@then("version {version:d} was received within {limit:d} ms after the fault")
+def check_received_after_fault(context, version, limit):
+    check_received_soon(context, version, limit)
 
 
 @then("the store was called {count:d} times")
@@ -344,7 +350,7 @@
         context.known[name] = set(records.values)
 
     async def main():
-        store, _ = await open_store(context)
+        store, _ = await start_store(context)
         rng = random.Random(1)
         await asyncio.gather(*(join(store, f"d{i}", rng) for i in range(count)))
 
@@ -352,16 +358,16 @@
 
 
 @then("of any two of them at least one knows the other")
-def check_known(context):
-    for first, seen in context.known.items():
-        for second, also_seen in context.known.items():
-            assert first == second or second in seen or first in also_seen
+def check_mutual_discovery(context):
+    for first, seen_by_first in context.known.items():
+        for second, seen_by_second in context.known.items():
+            assert first == second or second in seen_by_first or first in seen_by_second
 
 
-@when("the answer of an append is lost")
-def lose_answer(context):
+@when("the response to an append is lost")
+def lose_response(context):
     async def main():
-        store, client = await open_store(context)
+        store, client = await start_store(context)
         store.faults.lost_answers = 1
         try:
             await client.put(Collection.MEMBERS, "d1", b"10.0.0.1:1")
@@ -376,7 +382,7 @@
     assert isinstance(context.error, AppendUnknownError), context.error
 
 
-@when("a heartbeat says {body}")
+@when("a heartbeat has the body {body}")
 def send_heartbeat(context, body):
     context.announced = read_heartbeat(body.encode())
 
@@ -394,11 +400,11 @@
 
 
 @given("the platform's example settings")
-def set_node(context):
+def set_node_settings(context):
     context.node = NODE
 
 
-def look_up(node, name):
+def get_setting(node, name):
     value = node
     for part in name.split("."):
         value = value[int(part)] if isinstance(value, list) else value[part]
@@ -408,9 +414,9 @@
 @when('the template "{path}" is rendered with them')
 def render(context, path):
     def replace(match):
-        name, _, form = match[1].partition("|")
-        value = look_up(context.node, name)
-        return json.dumps(value) if form == "json" else str(value)
+        name, _, output_format = match[1].partition("|")
+        value = get_setting(context.node, name)
+        return json.dumps(value) if output_format == "json" else str(value)
 
     text = pathlib.Path(path).read_text()
     context.rendered = json.loads(re.sub(r"\{\{([^}]+)\}\}", replace, text))
--- a/features/steps/programs_steps.py
+++ b/features/steps/programs_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the arguments of the programs, run in this process."""
+"""Steps for the programs' command lines, which run in this process."""
 
 import contextlib
 import io
@@ -26,7 +26,11 @@
 LIST_MODULES = (
     "import sys, wagtailstep.platform.program; print(*sys.modules, sep=chr(10))"
 )
-NEEDS_LOG = ("network.log_client", "controllers.evidence", "controllers.ejection")
+LOG_DEPENDENT_MODULES = (
+    "network.log_client",
+    "controllers.evidence",
+    "controllers.ejection",
+)
 
 
 def run_program(context, program, arguments):
@@ -38,8 +42,8 @@
     ):
         try:
             PROGRAMS[program]()
-        except SystemExit as stop:
-            context.code = stop.code
+        except SystemExit as exit_error:
+            context.code = exit_error.code
     context.output = output.getvalue()
 
 
@@ -61,14 +65,14 @@
     assert text in lines[0], context.output
 
 
-@given("a settings file whose caller address is taken")
-def take_address(context):
-    taken = socket.create_server(("127.0.0.1", 0))
-    context.add_cleanup(taken.close)
+@given("a settings file whose caller address is in use")
+def occupy_address(context):
+    occupied = socket.create_server(("127.0.0.1", 0))
+    context.add_cleanup(occupied.close)
     settings = json.loads(pathlib.Path("examples/daemon.json").read_text())
     for key in ("gate_address", "peer_address", "announce_address"):
         settings[key] = "127.0.0.1:0"
-    settings["caller_address"] = f"127.0.0.1:{taken.getsockname()[1]}"
+    settings["caller_address"] = f"127.0.0.1:{occupied.getsockname()[1]}"
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     context.file = pathlib.Path(folder.name, "daemon.json")
@@ -87,8 +91,10 @@
     context.modules = run.stdout.splitlines()
 
 
-@then("no module of log, evidence or ejection is loaded")
+@then("no module of the log client, evidence or ejection is loaded")
 def check_modules(context):
     assert "wagtailstep.platform.daemon" in context.modules
-    loaded = {f"wagtailstep.{name}" for name in NEEDS_LOG}.intersection(context.modules)
+    loaded = {f"wagtailstep.{name}" for name in LOG_DEPENDENT_MODULES}.intersection(
+        context.modules
+    )
     assert not loaded, loaded
--- a/features/steps/published_table_steps.py
+++ b/features/steps/published_table_steps.py
@@ -1,4 +1,4 @@
-"""Steps for tables that are published whole."""
+"""Steps for tables that are published as complete documents."""
 
 import random
 from datetime import timedelta
@@ -31,10 +31,10 @@
     return Table(version=document.version, host_routes=routes)
 
 
-@given("{count:d} daemons that take published tables")
-def make_daemons(context, count):
+@given("{count:d} daemons that follow published tables")
+def create_daemons(context, count):
     context.clock = ManualClock()
-    context.deaf = set()
+    context.without_pushes = set()
     members = {
         f"d{i}": Member(f"d{i}", 1, f"127.0.0.1:{7000 + i}", "127.0.0.1:1", "bole")
         for i in range(count)
@@ -54,44 +54,48 @@
         )
 
 
-@given("daemon {index:d} hears no push")
-def make_deaf(context, index):
-    context.deaf.add(index)
-    context.pushing = False
+@given("daemon {index:d} receives no pushed table")
+def drop_pushes(context, index):
+    context.without_pushes.add(index)
+    context.pushes_enabled = False
 
 
 def deliver(context, sender, effects):
-    """Apply effects; a deaf daemon hears only what it asked for."""
+    """Deliver messages; drop pushes to daemons that only receive replies."""
     for effect in effects:
         if not isinstance(effect, SendToPeer):
             continue
         index = int(effect.address.rpartition(":")[2]) - 7000
         is_push = isinstance(effect.message, TableDocumentMessage)
-        if index in context.deaf and is_push and index not in context.asked:
+        if (
+            index in context.without_pushes
+            and is_push
+            and index not in context.requesters
+        ):
             continue
-        if sender in context.deaf:
-            context.asked.add(sender)
+        if sender in context.without_pushes:
+            context.requesters.add(sender)
         event = PeerMessageReceived(f"d{sender}", effect.message)
         deliver(context, index, context.daemons[index].handle(event))
 
 
 @when("daemon {index:d} reads version {version:d} from the store")
-def publish(context, index, version):
-    read(context, index, TableDocument(version, b"good"))
+def read_version(context, index, version):
+    handle_document(context, index, TableDocument(version, b"good"))
 
 
 @when("daemon {index:d} reads an unreadable version {version:d} from the store")
-def publish_unreadable(context, index, version):
-    read(context, index, TableDocument(version, b"bad"))
+def read_unreadable_version(context, index, version):
+    handle_document(context, index, TableDocument(version, b"bad"))
 
 
-def read(context, index, document):
-    context.asked = set()
+def handle_document(context, index, document):
+    context.requesters = set()
     event = TablePublished(document, "store")
     deliver(context, index, context.daemons[index].handle(event))
 
 
-@when("{seconds:d} s pass among the daemons")
+@when("{seconds:d} s pass for all daemons")
 def pass_time(context, seconds):
     for _ in range(timedelta(seconds=seconds) // TICK):
         context.clock.advance(TICK)
@@ -112,6 +116,6 @@
     assert board.table.version == version, board.table.version
 
 
-@then('daemon {index:d} wants the service "{service}"')
-def check_wanted(context, index, service):
+@then('daemon {index:d} requests the targets of service "{service}"')
+def check_requested(context, index, service):
     assert service in context.boards[index].requested_services
