--- a/features/readiness.feature
+++ b/features/readiness.feature
@@ -1,6 +1,6 @@
-Feature: A daemon says when it takes requests
+Feature: A daemon reports its readiness and its metrics
 
-  Scenario Outline: Readiness needs a table and a target, and ends with the shutdown
+  Scenario Outline: A daemon is ready if it knows a table and a target and does not shut down
     Given a daemon that <table> a table and <target> a target and is <phase>
     Then the daemon is <ready>
 
@@ -14,13 +14,13 @@
   Scenario: Metrics are served as text
     Given the metrics of a daemon
     When 3 pieces of work end as "failed" after 200 ms
-    Then the text has "wagtailstep_work_duration_seconds_count" of 3 for result "failed"
-    And the text has the gauge "wagtailstep_members"
+    Then the exported text has "wagtailstep_work_duration_seconds_count" of 3 for result "failed"
+    And the exported text has the gauge "wagtailstep_members"
 
-  Scenario Outline: Requests and calls to the store are counted by how they ended
+  Scenario Outline: Requests and calls to the store are counted by outcome
     Given the metrics of a daemon
     When 3 <things> end as "<outcome>"
-    Then the text has "<metric>" of 3 for outcome "<outcome>"
+    Then the exported text has "<metric>" of 3 for outcome "<outcome>"
 
     Examples:
       | things         | outcome    | metric                              |
@@ -28,12 +28,12 @@
       | requests       | status-200 | wagtailstep_requests_total          |
       | calls to store | status-503 | wagtailstep_store_calls_total       |
 
-  Scenario: Gauges of services are read when they are asked for
+  Scenario: Gauges by service are read at each export
     Given the metrics of a daemon
     When a gauge of services reads 4 for "contracts"
-    Then the text has "wagtailstep_gate_waiting" of 4 for service "contracts"
+    Then the exported text has "wagtailstep_gate_waiting" of 4 for service "contracts"
 
-  Scenario: The age of the table begins anew with each version
+  Scenario: The age of the table restarts with each version
     Given the metrics of a daemon
     When 5 s pass, a new table comes into force, and 2 s pass
     Then the table is 2 s old
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,8 +1,8 @@
-Feature: Settings are checked before anything starts
+Feature: Settings are validated at the start and when their file changes
   Scenario: The annotated example is valid
-    Then the file "examples/daemon.json" holds valid daemon settings
+    Then the file "examples/daemon.json" contains valid daemon settings
 
-  Scenario Outline: A wrong setting is refused with one line that names the key
+  Scenario Outline: An invalid setting is refused with one line that names the key
     Given the annotated example with <change>
     Then it is refused with one line that contains "<text>"
 
@@ -25,10 +25,10 @@
     Given the annotated example without "daemon_id"
     Then it is refused with one line that contains "key daemon_id is missing"
 
-  Scenario Outline: A file that changes while the daemon runs is taken or reported once
+  Scenario Outline: A file that changes while the daemon runs is applied or reported once
     Given a daemon started with log level "INFO"
-    When its settings file gets <change> and is checked 3 times
-    Then one line says "<text>"
+    When its settings file is changed by <change> and checked 3 times
+    Then one line is logged that contains "<text>"
     And the log level is "<level>"
 
     Examples:
--- a/features/steps/readiness_steps.py
+++ b/features/steps/readiness_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the readiness of a daemon."""
+"""Steps for the readiness and the metrics of a daemon."""
 
 from datetime import timedelta
 
@@ -30,7 +30,7 @@
 
 
 @given("the metrics of a daemon")
-def make_metrics(context):
+def create_metrics(context):
     context.clock = ManualClock()
     context.board = Blackboard(Member("d1", 1, "", "", "bole"))
     context.metrics = MetricsRecorder(context.board, context.clock)
@@ -38,8 +38,8 @@
 
 @when('{count:d} pieces of work end as "{result}" after {took_ms:d} ms')
 def end_work(context, count, result, took_ms):
-    took = timedelta(milliseconds=took_ms)
-    event = WorkEnded("contracts/i-1", "sign", True, WorkResult(result), took)
+    duration = timedelta(milliseconds=took_ms)
+    event = WorkEnded("contracts/i-1", "sign", True, WorkResult(result), duration)
     for _ in range(count):
         context.metrics.handle(event)
     context.exported = context.metrics.export_text().decode()
@@ -81,7 +81,7 @@
     assert context.metrics.compute_table_age() == seconds
 
 
-@then('the text has "{name}" of {count:d} for {attribute} "{value}"')
+@then('the exported text has "{name}" of {count:d} for {attribute} "{value}"')
 def check_count(context, name, count, attribute, value):
     (line,) = [
         line
@@ -91,6 +91,6 @@
     assert float(line.split()[-1]) == count, line
 
 
-@then('the text has the gauge "{name}"')
+@then('the exported text has the gauge "{name}"')
 def check_gauge(context, name):
     assert f"# TYPE {name}" in context.exported, context.exported
--- a/features/steps/retries_steps.py
+++ b/features/steps/retries_steps.py
@@ -22,10 +22,10 @@
 
 
 @given("a retry policy with ratio {ratio:g} and burst {burst:d}")
-def set_policy(context, ratio, burst):
+def create_policy(context, ratio, burst):
     settings = RequestSettings(retry_ratio=ratio, retry_burst=burst)
     context.policy = RetryPolicy(settings, ManualClock())
-    context.retried = make_request(context)
+    context.request_to_retry = make_request(context)
 
 
 @when('{count:d} first attempts fail as "{end}"')
@@ -48,8 +48,8 @@
     assert context.policy.try_acquire_retry(request, ERRORS["connection refused"], 1)
 
 
-@given("the budget is used up")
-def use_up(context):
+@given("the retry budget is exhausted")
+def exhaust_budget(context):
     while context.policy.try_acquire_token("contracts"):
         pass
 
@@ -62,24 +62,24 @@
 
 @given('it has {left:d} ms left and is "{safety}"')
 def set_request(context, left, safety):
-    context.retried = attrs.evolve(
-        context.retried,
+    context.request_to_retry = attrs.evolve(
+        context.request_to_retry,
         deadline=timedelta(milliseconds=left),
         idempotent=safety == "idempotent",
     )
 
 
-def ask(context):
+def try_acquire_retry(context):
     return context.policy.try_acquire_retry(
-        context.retried, context.failure, context.failures
+        context.request_to_retry, context.failure, context.failures
     )
 
 
 @then("a retry is allowed")
 def check_allowed(context):
-    assert ask(context)
+    assert try_acquire_retry(context)
 
 
 @then("a retry is not allowed")
 def check_not_allowed(context):
-    assert not ask(context)
+    assert not try_acquire_retry(context)
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the routing controller and its limits."""
+"""Steps for the routing controller and its admission limits."""
 
 import random
 from datetime import timedelta
@@ -52,7 +52,7 @@
     )
 
 
-def read_numbers(text):
+def parse_numbers(text):
     return [int(number) for number in text.split(",")]
 
 
@@ -70,24 +70,24 @@
     )
 
 
-def name_target(number):
+def target_id_of(number):
     return make_target(number).target_id
 
 
 def change_target(context, number, **changes):
-    target_id = name_target(number)
+    target_id = target_id_of(number)
     board = context.board
     board.targets[target_id] = attrs.evolve(board.targets[target_id], **changes)
 
 
 def set_weight(context, number, weight):
-    target_id = name_target(number)
+    target_id = target_id_of(number)
     row = BackendServerRow(target_id, weight)
     context.board.table.backend_servers[target_id] = row
 
 
-def find_health(context, number):
-    return context.board.health.setdefault(name_target(number), TargetHealth())
+def get_health(context, number):
+    return context.board.health.setdefault(target_id_of(number), TargetHealth())
 
 
 @given("the weight of target {number:d} is {weight:g}")
@@ -98,7 +98,7 @@
 @given("{count:d} attempts are in flight at target {number:d}")
 def set_in_flight(context, count, number):
     for _ in range(count):
-        context.routing.start_attempt(name_target(number))
+        context.routing.start_attempt(target_id_of(number))
 
 
 @given('target {number:d} is "{state}"')
@@ -106,12 +106,12 @@
     if state in ("leaving", "starting"):
         change_target(context, number, state=TargetState(state))
     elif state == "ejected":
-        context.board.ejected.add(name_target(number))
+        context.board.ejected.add(target_id_of(number))
     elif state == "without weight":
         set_weight(context, number, 0)
     else:
-        gone = make_member(f"g{number}", state=MemberState.DEAD)
-        context.board.members[f"g{number}"] = gone
+        dead_member = make_member(f"g{number}", state=MemberState.DEAD)
+        context.board.members[f"g{number}"] = dead_member
 
 
 @given('target {number:d} is in zone "{zone}"')
@@ -121,11 +121,11 @@
 
 @given('targets {numbers} are in zone "{zone}"')
 def set_zones(context, numbers, zone):
-    for number in read_numbers(numbers):
+    for number in parse_numbers(numbers):
         set_zone(context, number, zone)
 
 
-@given("targets of other zones are drawn with {share:g} of their weight")
+@given("targets of other zones are selected with {share:g} of their weight")
 def set_other_zone_share(context, share):
     settings = context.routing.settings
     requests = attrs.evolve(settings.requests, other_zone_share=share)
@@ -138,25 +138,25 @@
     context.board.table.services["contracts"] = row
 
 
-@given("picks steer away from targets {numbers}")
-def set_steering(context, numbers):
-    for number in read_numbers(numbers):
-        find_health(context, number).avoided = True
+@given("targets {numbers} are avoided")
+def set_avoided(context, numbers):
+    for number in parse_numbers(numbers):
+        get_health(context, number).avoided = True
 
 
 @given("target {number:d} has the higher penalty")
 def set_penalty(context, number):
-    find_health(context, number).penalty = 5.0
+    get_health(context, number).penalty = 5.0
 
 
 @given("target {number:d} has ramp {ramp:g}")
 def set_ramp(context, number, ramp):
-    find_health(context, number).ramp = ramp
+    get_health(context, number).ramp = ramp
 
 
 @given("targets {numbers} are ejected")
 def set_ejected(context, numbers):
-    context.board.ejected.update(map(name_target, read_numbers(numbers)))
+    context.board.ejected.update(map(target_id_of, parse_numbers(numbers)))
 
 
 @when("{count:d} picks are made with nothing in flight")
@@ -171,16 +171,16 @@
     make_picks(context, count)
 
 
-@when("{count:d} picks are made that avoid target {number:d}")
+@when("{count:d} picks are made for requests that already tried target {number:d}")
 def make_avoiding_picks(context, count, number):
-    tried = {name_target(number)}
+    tried = {target_id_of(number)}
     routing = context.routing
     context.picks = [routing.pick("contracts", tried).target_id for _ in range(count)]
 
 
 @then("target {number:d} gets between {low:d} and {high:d} percent of the picks")
 def check_share(context, number, low, high):
-    share = 100 * context.picks.count(name_target(number)) / len(context.picks)
+    share = 100 * context.picks.count(target_id_of(number)) / len(context.picks)
     assert low <= share <= high, share
 
 
@@ -189,7 +189,7 @@
     assert len(context.picks) == 100
 
 
-@then('a pick is refused with verdict "{verdict}" and a time to come back')
+@then('a pick is refused with verdict "{verdict}" and a Retry-After time')
 def check_no_target(context, verdict):
     try:
         context.routing.pick("contracts")
@@ -275,7 +275,7 @@
 
 
 @then('after the time in Retry-After client account "{account}" is admitted again')
-def check_account_returns(context, account):
+def check_account_readmitted(context, account):
     context.clock.advance(context.refused[-1].retry_after)
     context.routing.admit(make_request(context, account=account))
 
@@ -285,18 +285,18 @@
     context.routing.admit(make_request(context, account=account))
 
 
-@then("at most {count:d} of them are remembered")
-def check_buckets(context, count):
+@then("rate limiters of at most {count:d} of them are kept")
+def check_rate_limiters(context, count):
     assert len(context.admitted) == 5000
     assert len(context.routing.account_limiter.buckets) <= count
 
 
-@then("at most {count:d} services are wanted")
-def check_wanted(context, count):
+@then("the targets of at most {count:d} services are requested")
+def check_requested(context, count):
     assert 0 < len(context.board.requested_services) <= count
 
 
-@then("none of them is wanted any more after 11 minutes")
+@then("none of them is requested any more after 11 minutes")
 def check_expiry(context):
     context.clock.advance(timedelta(minutes=9))
     context.routing.handle(Tick())
@@ -314,37 +314,37 @@
         context.board.targets[target.target_id] = target
 
 
-@when("one pick is made and the targets looked at are counted")
-def count_looks(context):
-    looked = []
+@when("one pick is made and the examined targets are counted")
+def count_examined_targets(context):
+    examined = []
     weight = context.board.table.weight
-    context.board.table = CountingTable(looked, weight)
+    context.board.table = RecordingTable(examined, weight)
     context.routing.pick("contracts")
-    context.looked = looked
+    context.examined = examined
 
 
-class CountingTable:
-    """Counts the targets whose weight is asked for."""
+class RecordingTable:
+    """Records the targets whose weight is read."""
 
-    def __init__(self, looked, weight):
-        self.looked = looked
+    def __init__(self, examined, weight):
+        self.examined = examined
         self.real_weight = weight
 
     def weight(self, target_id):
-        self.looked.append(target_id)
+        self.examined.append(target_id)
         return self.real_weight(target_id)
 
 
-@then("at most {count:d} targets were looked at")
-def check_looks(context, count):
-    assert 0 < len(set(context.looked)) <= count
+@then("at most {count:d} targets were examined")
+def check_examined(context, count):
+    assert 0 < len(set(context.examined)) <= count
 
 
-@then("removing a target takes it out of its service's index")
+@then("removing a target removes it from its service's index")
 def check_removal(context):
     board = context.board
-    del board.targets[name_target(1)]
-    assert name_target(1) not in board.targets.of_service("contracts")
+    del board.targets[target_id_of(1)]
+    assert target_id_of(1) not in board.targets.of_service("contracts")
     assert len(board.targets_of("contracts")) == 3
     board.targets.pop(make_target(5, service="other5").target_id)
     assert len(board.targets) == 19_002
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -14,13 +14,13 @@
 EXAMPLE = pathlib.Path("examples/daemon.json")
 
 
-@then('the file "{path}" holds valid daemon settings')
+@then('the file "{path}" contains valid daemon settings')
 def check_example(context, path):
     assert read_settings(path, DaemonSettings).daemon_id == "contracts-1"
 
 
 @given('the annotated example without "{key}"')
-def drop_key(context, key):
+def remove_key(context, key):
     context.raw = json.loads(EXAMPLE.read_text())
     del context.raw[key]
 
@@ -41,24 +41,24 @@
         raise AssertionError("the settings were accepted")
 
 
-class Lines(logging.Handler):
-    """Keep what is logged."""
+class LogCapture(logging.Handler):
+    """Collect the messages that are logged."""
 
     def __init__(self):
         super().__init__()
-        self.texts = []
+        self.messages = []
 
     def emit(self, record):
-        self.texts.append(record.getMessage())
+        self.messages.append(record.getMessage())
 
 
-def keep_lines(context):
-    context.lines = Lines()
+def capture_log(context):
+    context.log_capture = LogCapture()
     logger = logging.getLogger("wagtailstep.commands.reload_settings")
-    logger.addHandler(context.lines)
-    context.add_cleanup(logger.removeHandler, context.lines)
+    logger.addHandler(context.log_capture)
+    context.add_cleanup(logger.removeHandler, context.log_capture)
     level = logger.level
-    # The level of all loggers is what these steps change.
+    # These steps change the root level, so this logger gets its own.
     logger.setLevel(logging.INFO)
     context.add_cleanup(logger.setLevel, level)
 
@@ -69,10 +69,10 @@
     root = logging.getLogger()
     context.add_cleanup(root.setLevel, root.level)
     root.setLevel(level)
-    keep_lines(context)
+    capture_log(context)
 
 
-@when("its settings file gets {change} and is checked {count:d} times")
+@when("its settings file is changed by {change} and checked {count:d} times")
 def check_file(context, change, count):
     def reread_settings():
         return structure_settings(context.raw, DaemonSettings, "daemon.json")
@@ -84,12 +84,14 @@
         reloader.reload_if_changed()
 
 
-@then('one line says "{text}"')
-@then('one line says ""')
+@then('one line is logged that contains "{text}"')
+@then('one line is logged that contains ""')
 def check_one_line(context, text=""):
     expected = 1 if text else 0
-    assert len(context.lines.texts) == expected, context.lines.texts
-    assert all(text in line for line in context.lines.texts), context.lines.texts
+    assert len(context.log_capture.messages) == expected, context.log_capture.messages
+    assert all(text in line for line in context.log_capture.messages), (
+        context.log_capture.messages
+    )
 
 
 @then('the log level is "{level}"')
--- a/features/steps/shared_retries_steps.py
+++ b/features/steps/shared_retries_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the retry budget that daemons share."""
+"""Steps for the retry budget that all daemons share."""
 
 from datetime import timedelta
 
@@ -12,14 +12,14 @@
 from wagtailstep.models.verdict import Verdict
 from wagtailstep.utils.clock import ManualClock
 
-LOST = exceptions.ConnectionFailedError("", Verdict.MAY_HAVE_RUN)
-BUSY = exceptions.OverloadedError("", timedelta(seconds=1))
+CONNECTION_LOST = exceptions.ConnectionFailedError("", Verdict.MAY_HAVE_RUN)
+OVERLOADED = exceptions.OverloadedError("", timedelta(seconds=1))
 LEAVING = exceptions.LeavingError("")
 WINDOW_S = 10
 
 
 @given("{count:d} daemons with a shared budget of ratio {ratio:g} and slack {slack:g}")
-def make_policies(context, count, ratio, slack):
+def create_policies(context, count, ratio, slack):
     context.clock = ManualClock()
     settings = RequestSettings(retry_ratio=ratio, retry_slack=slack)
     context.policies = [
@@ -29,7 +29,7 @@
     context.retries = []
 
 
-@given('a run at "{service}" makes {ratio:g} calls to "{called}"')
+@given('each request to "{service}" makes {ratio:g} calls to "{called}"')
 def set_calls(context, service, ratio, called):
     context.ratio = ratio
     for policy in context.policies:
@@ -40,7 +40,7 @@
     "every request of {seconds:d} s fails, {rate:d} each second, with a burst of "
     "{factor:d} times as many"
 )
-def fail_all(context, seconds, rate, factor):
+def fail_all_requests(context, seconds, rate, factor):
     for second in range(seconds):
         count = rate * (factor if seconds // 2 <= second < seconds // 2 + 3 else 1)
         for index in range(count):
@@ -56,7 +56,7 @@
                 idempotent=True,
                 deadline=context.clock.monotonic() + timedelta(seconds=4),
             )
-            if policy.try_acquire_retry(request, LOST, 1, 1):
+            if policy.try_acquire_retry(request, CONNECTION_LOST, 1, 1):
                 context.retries.append(now)
 
 
@@ -72,8 +72,8 @@
     assert context.retries
     for end in context.retries:
         retries = count_between(context.retries, end - seconds, end)
-        # The budget counts the requests of that window, of the one before it or of the
-        # one half a window earlier, whichever has most.
+        # The budget counts the requests of this window, of the previous one or of the
+        # one half a window earlier, whichever has the most.
         requests = max(
             count_between(context.requests, end - seconds - lag, end - lag)
             for lag in (0, seconds / 2, seconds)
@@ -81,15 +81,15 @@
         assert retries <= ratio * requests + slack, (end, retries, requests)
 
 
-@then('in any {seconds:d} s the repeated calls to "{service}" were at most {most:d}')
-def check_calls(context, seconds, service, most):
+@then('in any {seconds:d} s there were at most {limit:d} repeated calls to "{service}"')
+def check_calls(context, seconds, service, limit):
     assert context.retries
     for end in context.retries:
         retries = count_between(context.retries, end - seconds, end)
-        assert retries * context.ratio <= most, (end, retries)
+        assert retries * context.ratio <= limit, (end, retries)
 
 
-def may_resend(context, error, attempts, sent, max_attempts=2):
+def try_acquire_retry_after(context, error, attempts, sent, max_attempts=2):
     policy = context.policies[0]
     for _ in range(20):
         policy.record_first_attempt("contracts")
@@ -105,14 +105,14 @@
 
 @then("a request that {count:d} gates refused as busy may be sent once more")
 def check_busy(context, count):
-    assert may_resend(context, BUSY, count, 0)
+    assert try_acquire_retry_after(context, OVERLOADED, count, 0)
 
 
 @then("a request that {count:d} gates refused as leaving may be sent once more")
 def check_leaving(context, count):
-    assert may_resend(context, LEAVING, count, 0)
+    assert try_acquire_retry_after(context, LEAVING, count, 0)
 
 
-@then("a request that {count:d} backend servers got is not sent again")
+@then("a request that {count:d} backend servers received is not sent again")
 def check_sent(context, count):
-    assert not may_resend(context, LOST, count, count)
+    assert not try_acquire_retry_after(context, CONNECTION_LOST, count, count)
