--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,25 +1,25 @@
-Feature: A soak of faults on the platform finds broken promises
+Feature: A soak test with faults on the platform detects broken guarantees
 
-  Scenario: Two kinds of trouble at once break none
-    When a soak with the troubles "power, restart" is played with seed 11
-    Then it finds no broken promise
-    And at least 1500 requests were answered with success
+  Scenario: Two types of faults at once break no guarantee
+    When a soak test with the faults "power, restart" runs with seed 11
+    Then it finds no broken guarantee
+    And at least 1500 requests succeeded
 
-  Scenario: Planned work alone cuts no request
-    When a soak with the troubles "restart, table" is played with seed 13
-    Then it finds no broken promise
-    And at least 1500 requests were answered with success
+  Scenario: Planned maintenance alone interrupts no request
+    When a soak test with the faults "restart, table" runs with seed 13
+    Then it finds no broken guarantee
+    And at least 1500 requests succeeded
 
-  Scenario: A fleet that sends unrepeatable requests again is found out
-    Given retries that don't ask whether a request may be repeated
-    When a soak with the troubles "lose, hang" is played with seed 12
-    Then it finds a broken promise that says "times"
+  Scenario: A fleet that resends non-idempotent requests is detected
+    Given a retry policy that also resends non-idempotent requests
+    When a soak test with the faults "lose, hang" runs with seed 12
+    Then it finds a broken guarantee whose description contains "times"
 
-  Scenario: A fleet whose daemons stop at once is found out
-    Given daemons that shut down without waiting
-    When a soak with the troubles "restart, table" is played with seed 13
-    Then it finds a broken promise that says "planned work cut"
+  Scenario: A fleet whose daemons stop without draining is detected
+    Given daemons that shut down without draining
+    When a soak test with the faults "restart, table" runs with seed 13
+    Then it finds a broken guarantee whose description contains "planned work cut"
 
-  Scenario: After a loss of all power the targets are soon known everywhere
-    When all 6 hosts of a fleet lose power and start again at once
+  Scenario: After a power loss of all hosts every daemon soon knows all targets
+    When all 6 hosts of a fleet lose power and restart at the same time
     Then 600 ms later each daemon knows 6 targets
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the soak on the platform."""
+"""Steps for the soak test on the platform."""
 
 import asyncio
 import logging
@@ -13,8 +13,8 @@
 from wagtailstep.controllers.retries import RetryPolicy
 
 
-@given("retries that don't ask whether a request may be repeated")
-def plant_careless_retries(context):
+@given("a retry policy that also resends non-idempotent requests")
+def disable_resend_check(context):
     patch = mock.patch.object(
         RetryPolicy, "try_acquire_retry", lambda *args: args[3] < 3
     )
@@ -22,15 +22,15 @@
     context.add_cleanup(patch.stop)
 
 
-@given("daemons that shut down without waiting")
-def plant_hasty_shutdown(context):
+@given("daemons that shut down without draining")
+def disable_drain(context):
     patch = mock.patch.object(SoakDaemon, "shut_down", SoakDaemon.close)
     patch.start()
     context.add_cleanup(patch.stop)
 
 
-@when('a soak with the troubles "{names}" is played with seed {seed:d}')
-def play_soak(context, names, seed):
+@when('a soak test with the faults "{names}" runs with seed {seed:d}')
+def run_soak(context, names, seed):
     logging.disable(logging.CRITICAL)
     try:
         context.result = play(seed, tuple(names.split(", ")))
@@ -38,25 +38,25 @@
         logging.disable(logging.NOTSET)
 
 
-@then("it finds no broken promise")
-def check_none(context):
+@then("it finds no broken guarantee")
+def check_no_violation(context):
     assert not context.result.violations, context.result.violations
 
 
-@then("at least {count:d} requests were answered with success")
+@then("at least {count:d} requests succeeded")
 def check_served(context, count):
-    served = sum(each.status == 200 for each in context.result.told)
+    served = sum(outcome.status == 200 for outcome in context.result.told)
     assert served >= count, served
 
 
-@then('it finds a broken promise that says "{text}"')
-def check_found(context, text):
+@then('it finds a broken guarantee whose description contains "{text}"')
+def check_violation(context, text):
     violations = context.result.violations
     assert any(text in violation for violation in violations), violations
 
 
-@when("all {count:d} hosts of a fleet lose power and start again at once")
-def lose_all_power(context, count):
+@when("all {count:d} hosts of a fleet lose power and restart at the same time")
+def set_host_count(context, count):
     context.count = count
 
 
--- a/features/steps/table_program_steps.py
+++ b/features/steps/table_program_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the operators' program, run against the stand-in of the log service."""
+"""Steps for the operators' program, run against the log service's test double."""
 
 import asyncio
 import contextlib
@@ -48,7 +48,7 @@
 
 
 @given('the table program ran "{arguments}"')
-def ran_program(context, arguments):
+def run_successfully(context, arguments):
     run_table_program(context, arguments)
     assert context.exit_code == 0, context.err
 
@@ -58,7 +58,7 @@
     run_table_program(context, arguments)
 
 
-@then('it exits with {code:d} and one line that names "{message}"')
+@then('it exits with {code:d} and one line that contains "{message}"')
 def check_error_line(context, code, message):
     assert context.exit_code == code, (context.exit_code, context.err)
     assert context.err.count("\n") == 1, context.err
@@ -119,13 +119,13 @@
     context.log_server.set_faults(lost_acknowledgments=count)
 
 
-@when("the log is away for the table program")
-def take_away(context):
+@when("the log is unavailable to the table program")
+def make_log_unavailable(context):
     context.log_server.set_faults(away=True)
 
 
-class ToldDaemons:
-    """Daemons that answer with what a scenario told."""
+class FakeDaemonClient:
+    """Reports the status of daemons as given by a scenario."""
 
     def __init__(self, rows):
         self.rows = {row["address"]: row for row in rows}
@@ -141,9 +141,9 @@
         return describe_status(board)
 
 
-@given("daemons that tell of the table")
-def tell_daemons(context):
-    daemons = ToldDaemons(context.table)
+@given("daemons that report this state of the table")
+def set_daemon_reports(context):
+    daemons = FakeDaemonClient(context.table)
     patch = mock.patch.object(program, "create_daemon_client", lambda: daemons)
     patch.start()
     context.add_cleanup(patch.stop)
@@ -177,8 +177,11 @@
     context.log_server.set_faults(retention_records=0)
 
 
-@when('the {name} operator restores the file as version {version:d} with daemon "{at}"')
-def restore_file(context, name, version, at):
+@when(
+    "the {name} operator restores the file as version {version:d} with daemon "
+    '"{address}"'
+)
+def restore_from_file(context, name, version, address):
     path = context.files[name]
-    words = f"restore {path} {at} --version={version} --reason=lost"
+    words = f"restore {path} {address} --version={version} --reason=lost"
     run_table_program(context, words)
--- a/features/steps/table_races_steps.py
+++ b/features/steps/table_races_steps.py
@@ -1,4 +1,4 @@
-"""Steps for seeded histories of the table, and for faults planted into them."""
+"""Steps for seeded random histories of the table, with and without planted faults."""
 
 from datetime import timedelta
 
@@ -26,8 +26,8 @@
 from wagtailstep.utils.codec import encode_message
 
 
-class HastyController(TableController):
-    """Puts any first table in force, however old."""
+class StaleStartController(TableController):
+    """Planted fault: puts the first table that it receives in force, however old."""
 
     def activate_first_table(self):
         if self.reader.position < 0 or self.blackboard.table_known:
@@ -37,35 +37,35 @@
 
 
 class UnconfirmedController(TableController):
-    """Puts what it read from the log in force while nobody else has it."""
+    """Planted fault: puts records in force before any other daemon has them."""
 
     def hold_records(self, records):
         return self.apply_log_records(records)
 
 
-class LenientFold(TableFold):
-    """Accepts an edit although another one changed its rows first."""
+class ConflictAcceptingFold(TableFold):
+    """Planted fault: accepts an edit although another one changed its rows first."""
 
     def _check_base(self, edit):
         return None
 
 
-class LenientReader(TableReader):
-    """Folds with the lenient fold."""
+class ConflictAcceptingReader(TableReader):
+    """Uses the fold that accepts conflicting edits."""
 
     def start_empty(self):
         if self.fold is None:
-            self.fold = LenientFold()
+            self.fold = ConflictAcceptingFold()
 
 
-class LenientController(TableController):
-    """Follows the table with the lenient fold."""
+class ConflictAcceptingController(TableController):
+    """Follows the table with the fold that accepts conflicting edits."""
 
-    reader_class = LenientReader
+    reader_class = ConflictAcceptingReader
 
 
-class CarelessReader(TableReader):
-    """Takes a snapshot without holding all records after it."""
+class GapIgnoringReader(TableReader):
+    """Planted fault: uses a snapshot although records after it are missing."""
 
     def _decode_if_usable(self, part, data):
         return decode_snapshot(data)
@@ -76,26 +76,26 @@
         return super().apply_record(record)
 
 
-class CarelessController(TableController):
-    """Follows the table with the careless reader."""
+class GapIgnoringController(TableController):
+    """Follows the table with the reader that ignores gaps."""
 
-    reader_class = CarelessReader
+    reader_class = GapIgnoringReader
 
 
-class RepeatingClient(TableClient):
-    """Repeats an edit under another identifier after a lost acknowledgment."""
+class NewIdRetryingClient(TableClient):
+    """Planted fault: repeats an edit under a new id after a lost acknowledgment."""
 
     async def propose(self, edit):
         try:
             await self.log.append(TABLE_STREAM, encode_message(edit))
         except AppendUnknownError:
-            again = self.build_edit(edit.base_version, edit.changes, edit)
-            return await super().propose(again)
+            repeated_edit = self.build_edit(edit.base_version, edit.changes, edit)
+            return await super().propose(repeated_edit)
         return await super().propose(edit)
 
 
-class TrustingClient(TableClient):
-    """Takes an acknowledged edit for an accepted one."""
+class AcknowledgmentTrustingClient(TableClient):
+    """Planted fault: reports an acknowledged edit as accepted."""
 
     async def propose(self, edit):
         await self.log.append(TABLE_STREAM, encode_message(edit))
@@ -105,15 +105,15 @@
 
 CONTROLLERS = {
     "none": TableController,
-    "first table however old": HastyController,
+    "first table however old": StaleStartController,
     "in force before another daemon has it": UnconfirmedController,
-    "conflicting edits accepted": LenientController,
-    "snapshot with a gap after it": CarelessController,
+    "conflicting edits accepted": ConflictAcceptingController,
+    "snapshot with a gap after it": GapIgnoringController,
 }
 CLIENTS = {
     "none": TableClient,
-    "lost edit repeated under a new name": RepeatingClient,
-    "acknowledged taken for accepted": TrustingClient,
+    "lost edit repeated under a new name": NewIdRetryingClient,
+    "acknowledged taken for accepted": AcknowledgmentTrustingClient,
 }
 
 
@@ -128,7 +128,7 @@
 
 
 @when("table daemons run the histories {first:d} to {last:d}")
-def run_daemons(context, first, last):
+def run_daemon_histories(context, first, last):
     histories = (
         run_fleet_history(seed, context.make_controller)
         for seed in range(first, last + 1)
@@ -137,7 +137,7 @@
 
 
 @when("table operators run the histories {first:d} to {last:d}")
-def run_operators(context, first, last):
+def run_operator_histories(context, first, last):
     context.found = []
     for seed in range(first, last + 1):
         history = run_operator_history(seed, context.make_client)
@@ -147,16 +147,16 @@
 
 
 @then("no table history shows a fault")
-def check_none_found(context):
+def check_no_fault_found(context):
     assert not context.found, "\n".join(context.found)
 
 
 @then("a table history shows a fault")
-def check_some_found(context):
+def check_fault_found(context):
     assert context.found
 
 
-@when("the only daemon that read a version restarts while the log is away")
+@when("the only daemon that read a version restarts while the log is unavailable")
 def restart_only_reader(context):
     fleet = TableFleet(1, 3, make_controller=context.make_controller)
     utc = fleet.clock.utc()
--- a/features/table_program.feature
+++ b/features/table_program.feature
@@ -3,9 +3,9 @@
     Given a log service for the table program
     And the table program ran "edit service contracts --floor_weight=2 --unlisted_servers=4 --reason=start"
 
-  Scenario Outline: A wrong argument gives one line and changes nothing
+  Scenario Outline: A wrong argument prints one line and changes nothing
     When the table program runs "<arguments>"
-    Then it exits with <code> and one line that names "<message>"
+    Then it exits with <code> and one line that contains "<message>"
     And the table in the log has version 1
 
     Examples:
@@ -33,24 +33,24 @@
     Then it exits with 0 and prints "service=contracts capacity=4->3 floor=2->2"
     And the table in the log has version 1
 
-  Scenario: The history tells who, when and why
+  Scenario: The history shows who changed the table and why
     When the table program runs "edit service contracts --drain_limit_s=9 --author=hana --reason='shorter drains'"
     Then it exits with 0 and prints "version=2"
     When the table program runs "history"
     Then it exits with 0 and prints "author=hana reason="shorter drains""
 
-  Scenario: A revert is a new version
+  Scenario: A revert creates a new version
     When the table program runs "edit service contracts --floor_weight=4 --reason=r"
     And the table program runs "revert 1 --reason=back"
     Then it exits with 0 and prints "floor_weight=4->2"
     And the table in the log has version 3
 
-  Scenario: Of two operators who change the same row one is told who was first
+  Scenario: Of two operators who change the same row, the second is refused and told why
     Given the table was exported to a file for each of two operators
     When the first operator changes "contracts,2," to "contracts,3," and applies the file
     Then it exits with 0 and prints "version=2"
     When the second operator changes "contracts,2," to "contracts,4," and applies the file
-    Then it exits with 3 and one line that names "was changed by edit"
+    Then it exits with 3 and one line that contains "was changed by edit"
     And the table in the log has version 2
 
   Scenario: Two operators who change different rows both succeed
@@ -63,27 +63,27 @@
     Then it exits with 0 and prints "contracts floor_weight=3"
     And it prints "archive floor_weight=0 drain_limit_s=830"
 
-  Scenario: A row that is missing in the file is not removed by mistake
+  Scenario: A row that is missing in the file is not removed without --remove
     Given the table program ran "edit route contracts/sign --timeout_ms=900 --reason=new"
     And the table was exported to a file for each of two operators
     When the first operator deletes the line "route" and applies the file
-    Then it exits with 2 and one line that names "pass --remove"
+    Then it exits with 2 and one line that contains "pass --remove"
     And the table in the log has version 2
 
-  Scenario: A lost acknowledgment is settled without applying twice
+  Scenario: An edit whose acknowledgment is lost is applied once
     When the log loses the next 1 acknowledgments
     And the table program runs "edit service contracts --drain_limit_s=9 --reason=r"
     Then it exits with 0 and prints "accepted"
     And the table in the log has version 2
 
-  Scenario: An edit while the log is away fails and changes nothing
-    When the log is away for the table program
+  Scenario: An edit while the log is unavailable fails
+    When the log is unavailable to the table program
     And the table program runs "edit service contracts --drain_limit_s=9 --reason=r"
-    Then it exits with 1 and one line that names "the log"
+    Then it exits with 1 and one line that contains "the log"
 
-  Scenario: The status tells which daemons are behind and since when
+  Scenario: The status shows which daemons are behind and since when
     Given the table program ran "edit service contracts --drain_limit_s=9 --reason=r"
-    And daemons that tell of the table
+    And daemons that report this state of the table
       | address | version | known |
       | d1:1    | 2       | yes   |
       | d2:1    | 1       | yes   |
@@ -97,23 +97,23 @@
     And it prints "daemon=d4:1 state=unreachable why="no answer""
     And it prints "newest_version=2 log=read daemons=4 in_force=1 behind=2 unreachable=1"
 
-  Scenario: The status works while the log is away
-    Given daemons that tell of the table
+  Scenario: The status works while the log is unavailable
+    Given daemons that report this state of the table
       | address | version | known |
       | d1:1    | 7       | yes   |
       | d2:1    | 6       | yes   |
-    When the log is away for the table program
+    When the log is unavailable to the table program
     And the table program runs "status d1:1 d2:1"
     Then it exits with 0 and prints "newest_version=7 log=unreachable daemons=2 in_force=1 behind=1"
 
   Scenario: A watch shows new edits and where they are in force
-    Given daemons that tell of the table
+    Given daemons that report this state of the table
       | address | version | known |
       | d1:1    | 1       | yes   |
     When the table program runs "watch d1:1 --interval_s=0.01 --run_time_s=0.02"
     Then it exits with 0 and prints "in_force=1 behind=0"
 
-  Scenario: A large import becomes several edits that hold whole services
+  Scenario: A large import is split into several edits by service
     Given a CSV file of 460 services with 10 client accounts each
     When the table program imports the file
     Then it exits with 0 and prints "accepted"
@@ -124,34 +124,34 @@
   Scenario: A large edit that can't be split is refused before it is appended
     Given a CSV file of 1 services with 9000 client accounts each
     When the table program imports the file
-    Then it exits with 2 and one line that names "allowed is at most 524288"
+    Then it exits with 2 and one line that contains "allowed is at most 524288"
     And the table in the log has version 1
 
-  Scenario: A table that log and daemons have lost is restored from a file
+  Scenario: A table lost by the log and by all daemons is restored from a file
     Given the table was exported to a file for each of two operators
     And the records of the table expired
-    And daemons that tell of the table
+    And daemons that report this state of the table
       | address | version | known |
       | d1:1    | 0       | no    |
     When the table program runs "show"
-    Then it exits with 1 and one line that names "no usable snapshot"
+    Then it exits with 1 and one line that contains "no usable snapshot"
     When the first operator restores the file as version 1 with daemon "d1:1"
-    Then it exits with 2 and one line that names "at least 2"
+    Then it exits with 2 and one line that contains "at least 2"
     When the first operator restores the file as version 9 with daemon "d1:1"
     Then it exits with 0 and prints "restored version=9"
     And the table in the log has version 9
     When the table program runs "edit service contracts --drain_limit_s=9 --reason=r"
     Then it exits with 0 and prints "version=10"
 
-  Scenario Outline: A table that is not lost is not restored
+  Scenario Outline: A table that is not lost can't be restored
     Given the table was exported to a file for each of two operators
-    And daemons that tell of the table
+    And daemons that report this state of the table
       | address | version | known |
       | d1:1    | 1       | yes   |
       | d2:1    | 0       | no    |
       | d3:1    |         |       |
     When the first operator restores the file as version 9 with daemon "<daemon>"
-    Then it exits with 3 and one line that names "<message>"
+    Then it exits with 3 and one line that contains "<message>"
     And the table in the log has version 1
 
     Examples:
