--- a/features/steps/table_steps.py
+++ b/features/steps/table_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the fold of the table, its snapshots, files and daemons."""
+"""Steps for the fold of the table, its snapshots and files, and daemons' tables."""
 
 import random
 from datetime import UTC, datetime, timedelta
@@ -40,7 +40,7 @@
     append(context, encode_message(edit))
 
 
-def account_change(number):
+def build_account_change(number):
     key = f"contracts/a{number}"
     return TableChanges(accounts={key: AccountRow(key, number)})
 
@@ -48,7 +48,7 @@
 @given(
     'a table with service "{service}" of floor {floor:d} and {count:d} backend servers'
 )
-def make_table(context, service, floor, count):
+def create_table(context, service, floor, count):
     context.records = []
     context.reader = TableReader()
     keys = [f"{service}/10.0.0.{index}:1" for index in range(1, count + 1)]
@@ -58,17 +58,19 @@
     assert context.reader.fold.version == 1
 
 
-@when('an edit based on version {base:d} sets "{row}" to "{cells}"')
-def set_row(context, base, row, cells):
+@when('an edit based on version {base:d} sets "{row}" to "{assignment}"')
+def set_row(context, base, row, assignment):
     kind, key = row.split()
     row_id = RowId(RowKind(kind), key)
-    name, value = cells.split("=")
+    name, value = assignment.split("=")
     found = context.reader.fold.table.rows(row_id.kind).get(key)
-    before = found or row_id.kind.row_type(key)
+    previous_row = found or row_id.kind.row_type(key)
     changes = TableChanges()
-    changes.rows(row_id.kind)[key] = attrs.evolve(before, **{name: float(value)})
-    if isinstance(getattr(before, name), int):
-        changes.rows(row_id.kind)[key] = attrs.evolve(before, **{name: int(value)})
+    changes.rows(row_id.kind)[key] = attrs.evolve(previous_row, **{name: float(value)})
+    if isinstance(getattr(previous_row, name), int):
+        changes.rows(row_id.kind)[key] = attrs.evolve(
+            previous_row, **{name: int(value)}
+        )
     append_edit(context, f"edit-{len(context.records)}", base, changes)
 
 
@@ -89,7 +91,7 @@
 def append_many(context, count):
     for number in range(count):
         version = context.reader.fold.version
-        append_edit(context, f"other-{number}", version, account_change(number))
+        append_edit(context, f"other-{number}", version, build_account_change(number))
 
 
 @when("the first of these edits is appended again")
@@ -102,13 +104,13 @@
     append(context, text.encode())
 
 
-@then('the edit is "{verdict}" and its reason names "{reason}"')
+@then('the edit is "{verdict}" and its reason contains "{reason}"')
 def check_outcome(context, verdict, reason):
     assert context.outcome.verdict.value == verdict, context.outcome
     assert reason in context.outcome.reason, context.outcome
 
 
-@then('the edit is "{verdict}" and its reason names ""')
+@then('the edit is "{verdict}" and its reason contains ""')
 def check_verdict(context, verdict):
     check_outcome(context, verdict, "")
 
@@ -127,34 +129,34 @@
         append(context, encode_message(part))
 
 
-@when("the log keeps only the records from that of the snapshot's last edit on")
-def keep_from_snapshot(context):
-    context.kept = context.records[context.snapshot_offset :]
+@when("the log keeps only the records from the snapshot's last edit on")
+def retain_from_snapshot(context):
+    context.retained_records = context.records[context.snapshot_offset :]
 
 
 @when("the log keeps only the records after {count:d} of these edits")
-def keep_after(context, count):
-    context.kept = context.records[context.snapshot_offset + count :]
+def retain_after(context, count):
+    context.retained_records = context.records[context.snapshot_offset + count :]
 
 
-def read_kept(context):
+def read_retained_records(context):
     reader = TableReader()
-    for record in context.kept:
+    for record in context.retained_records:
         reader.apply_log_record(record)
     return reader
 
 
 @then("a new reader has the same table")
 def check_same_table(context):
-    found = read_kept(context).fold
-    wanted = context.reader.fold
-    assert table_rows(found.table) == table_rows(wanted.table)
-    assert (found.version, found.accepted) == (wanted.version, wanted.accepted)
+    found = read_retained_records(context).fold
+    expected = context.reader.fold
+    assert table_rows(found.table) == table_rows(expected.table)
+    assert (found.version, found.accepted) == (expected.version, expected.accepted)
 
 
 @then("a new reader has no table")
 def check_no_table(context):
-    assert read_kept(context).fold is None
+    assert read_retained_records(context).fold is None
 
 
 @when("a snapshot with other rows is appended")
@@ -172,26 +174,26 @@
 
 
 def append_snapshot(context, parts):
-    context.kept = context.records[1:]
+    context.retained_records = context.records[1:]
     for part in parts:
         append(context, encode_message(part))
-    context.kept = context.records[1:]
+    context.retained_records = context.records[1:]
 
 
 @then("the old reader reports the snapshot as wrong")
-def check_old_reader(context):
+def check_existing_reader(context):
     assert context.reader.checked_snapshots[-1].problem
 
 
 @then("a new reader reports the snapshot as wrong")
 def check_new_reader(context):
-    reader = read_kept(context)
+    reader = read_retained_records(context)
     assert reader.checked_snapshots[-1].problem
     assert reader.fold is None
 
 
-@when("an older snapshot of the table is taken over")
-def take_older(context):
+@when("an older snapshot of the table is restored")
+def restore_older_snapshot(context):
     older = TableReader()
     older.start_empty()
     assert context.reader.restore(older.fold) == []
@@ -199,13 +201,13 @@
 
 @when("the table is exported as CSV and read back")
 def export_table(context):
-    append_edit(context, "account", 1, account_change(7))
+    append_edit(context, "account", 1, build_account_change(7))
     context.file = read_csv(write_csv(context.reader.fold.table))
 
 
 @when('the table is exported as CSV with ";" and read back')
 def export_with_semicolons(context):
-    append_edit(context, "account", 1, account_change(7))
+    append_edit(context, "account", 1, build_account_change(7))
     text = write_csv(context.reader.fold.table).replace(",", ";")
     context.file = read_csv("\ufeff" + text.replace("\n", "\r\n"))
 
@@ -217,13 +219,13 @@
 
 
 @when('the exported CSV has "{old}" replaced by "{new}"')
-def spoil_file(context, old, new):
+def corrupt_file(context, old, new):
     text = write_csv(context.reader.fold.table)
     assert old in text, text
     context.csv_text = text.replace(old, new)
 
 
-@then('reading it fails and the message names "{message}"')
+@then('reading it fails and the message contains "{message}"')
 def check_file_error(context, message):
     try:
         read_csv(context.csv_text)
@@ -233,22 +235,22 @@
         raise AssertionError("the file was read")
 
 
-@then("packed rows agree with a dictionary over {count:d} random operations")
+@then("packed rows match a dictionary over {count:d} random operations")
 def check_packed(context, count):
     rng = random.Random(5)
-    packed, plain = pack_accounts(), {}
+    packed, dictionary = pack_accounts(), {}
     for _ in range(count):
         key = rng.choice("abé") + str(rng.randrange(900))
         if rng.random() < 0.7:
-            packed[key] = plain[key] = AccountRow(key, rng.random())
-        elif key in plain:
-            del packed[key], plain[key]
-        assert packed.get(key) == plain.get(key)
-    assert list(packed) == sorted(plain)
-    assert dict(packed.items()) == plain
-    assert len(packed) == len(plain)
+            packed[key] = dictionary[key] = AccountRow(key, rng.random())
+        elif key in dictionary:
+            del packed[key], dictionary[key]
+        assert packed.get(key) == dictionary.get(key)
+    assert list(packed) == sorted(dictionary)
+    assert dict(packed.items()) == dictionary
+    assert len(packed) == len(dictionary)
     prefixed = [key for key, _ in packed.numbers_with_prefix("b1")]
-    assert prefixed == sorted(key for key in plain if key.startswith("b1"))
+    assert prefixed == sorted(key for key in dictionary if key.startswith("b1"))
 
 
 @then("packed rows refuse keys that are out of order")
@@ -259,13 +261,10 @@
         except ValueError as error:
             assert "does not come after" in str(error)
         else:
-            raise AssertionError(f"{keys} were taken")
+            raise AssertionError(f"{keys} were accepted")
 
 
-# Daemons
-
-
-def accept(context, changes):
+def append_fleet_edit(context, changes):
     fleet = context.fleet
     context.version += 1
     edit_id = f"fleet-{context.version}"
@@ -275,16 +274,16 @@
 
 
 @given("a fleet of {count:d} daemons with a table in force")
-def make_fleet(context, count):
+def create_fleet(context, count):
     settings = TableSettings(chunk_bytes=128)
     context.fleet = TableFleet(3, count, LogSettings(retention_s=120.0), settings)
     context.version = 0
-    accept(context, TableChanges({"contracts": ServiceRow("contracts")}))
+    append_fleet_edit(context, TableChanges({"contracts": ServiceRow("contracts")}))
     context.fleet.run(timedelta(seconds=10))
     check_newest(context)
 
 
-@when("all daemons are replaced while the log is away")
+@when("all daemons are replaced while the log is unavailable")
 def replace_all(context):
     context.fleet.log.faults.away = True
     for name in list(context.fleet.daemons):
@@ -293,12 +292,12 @@
 
 
 @then("no daemon knows a table")
-def check_unknown(context):
+def check_no_table_known(context):
     assert context.fleet.versions_in_force() == {None}
 
 
-@when("the table fleet's log is back")
-def bring_back(context):
+@when("the table fleet's log is available again")
+def restore_log(context):
     context.fleet.log.faults.away = False
 
 
@@ -311,7 +310,7 @@
 
 
 @when("{count:d} daemons can't read the log and {cut}")
-def cut_daemons(context, count, cut):
+def partition_daemons(context, count, cut):
     fleet = context.fleet
     names = list(fleet.daemons)
     for name in names[:count]:
@@ -321,24 +320,21 @@
 
 
 @when("another edit is accepted")
-def accept_another(context):
-    accept(context, account_change(1))
+def append_another_edit(context):
+    append_fleet_edit(context, build_account_change(1))
 
 
-@when(
-    "{count:d} more rows are accepted, then the log goes away and a daemon is replaced"
-)
-def accept_rows(context, count):
-    lose_log_after_rows(context, count)
+@when("{count:d} more rows are accepted, then the log fails and a daemon is replaced")
+def replace_one_after_rows(context, count):
+    stop_log_after_rows(context, count)
     context.fleet.restart("d0000", timedelta(seconds=1))
 
 
 @when(
-    "{count:d} more rows are accepted, then the log goes away and all but one "
-    "are replaced"
+    "{count:d} more rows are accepted, then the log fails and all but one are replaced"
 )
-def accept_rows_and_replace(context, count):
-    lose_log_after_rows(context, count)
+def replace_all_but_one_after_rows(context, count):
+    stop_log_after_rows(context, count)
     for name in list(context.fleet.daemons)[1:]:
         context.fleet.restart(name, timedelta(seconds=1))
 
@@ -349,20 +345,20 @@
     check_newest(context)
 
 
-def lose_log_after_rows(context, count):
+def stop_log_after_rows(context, count):
     accounts = {f"contracts/{n:064d}": None for n in range(count)}
     rows = {key: AccountRow(key, n + 0.5) for n, key in enumerate(accounts)}
-    accept(context, TableChanges(accounts=rows))
+    append_fleet_edit(context, TableChanges(accounts=rows))
     context.fleet.run(timedelta(seconds=10))
     tail = context.fleet.daemons["d0001"].controller.reader.tail
-    assert tail.start > 0, "the records are short enough to do without a snapshot"
+    assert tail.start > 0, "the records are too short to need a snapshot"
     context.fleet.log.faults.away = True
 
 
-@when("{count:d} times the log's retention passes")
+@when("{count:d} times the log's retention period passes")
 def pass_retention(context, count):
     for _ in range(count * 4):
-        accept(context, account_change(context.version))
+        append_fleet_edit(context, build_account_change(context.version))
         context.fleet.run(timedelta(seconds=30))
 
 
@@ -372,7 +368,7 @@
     assert low <= written <= high, written
 
 
-@then("a daemon that is replaced then has the newest table")
+@then("a daemon that is replaced afterwards has the newest table")
 def check_replaced(context):
     for name in list(context.fleet.daemons):
         context.fleet.stop(name)
@@ -380,7 +376,7 @@
     check_newest(context)
 
 
-@when("the log holds nothing but a wrong snapshot and a daemon is replaced")
+@when("the log contains only a wrong snapshot and a daemon is replaced")
 def replace_with_wrong_snapshot(context):
     fleet = context.fleet
     fold = copy_fold(fleet.daemons["d0001"].controller.reader.fold)
@@ -398,7 +394,7 @@
     fleet.network.cuts -= cuts
 
 
-@then("the replaced daemon has the rows of the others and reported the difference")
+@then("the replaced daemon has the rows of its peers and reported the difference")
 def check_difference(context):
     fleet = context.fleet
     tables = [daemon.blackboard.table for daemon in fleet.daemons.values()]
--- a/features/steps/target_answers_steps.py
+++ b/features/steps/target_answers_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what a gate makes of its backend server's answers."""
+"""Steps for how a gate classifies its backend server's answers."""
 
 import asyncio
 import random
@@ -39,32 +39,32 @@
 TIME_LEFT_MS = 2_000
 
 
-def write_answer(name, body, status="200 OK", headers=""):
+def build_answer(name, body, status="200 OK", headers=""):
     return (
         f"HTTP/1.1 {status}\r\nWagtailstep-Request-Id: {name}\r\n{headers}"
         f"Content-Length: {len(body)}\r\n\r\n{body}"
     )
 
 
-OWN = write_answer("two", "two")
-LATE = write_answer("one", "late")
+OWN_ANSWER = build_answer("two", "two")
+LATE_ANSWER = build_answer("one", "late")
 ANSWERS = {
-    "its own answer": OWN,
-    "a failure": write_answer("two", "two", "500 Oh"),
-    "421": write_answer("two", "", "421 No"),
-    "503 not executed": write_answer(
+    "its own answer": OWN_ANSWER,
+    "a failure": build_answer("two", "two", "500 Oh"),
+    "421": build_answer("two", "", "421 No"),
+    "503 not executed": build_answer(
         "two", "", "503 Full", "Wagtailstep-Not-Executed: 1\r\n"
     ),
-    "503": write_answer("two", "two", "503 Full"),
+    "503": build_answer("two", "two", "503 Full"),
     "no identifier": "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo",
-    "an encoded body": write_answer("two", "two", headers="Content-Encoding: br\r\n"),
-    "a late answer first": LATE + OWN,
-    "two late answers first": LATE + LATE + OWN,
-    "a late answer only": LATE,
+    "an encoded body": build_answer("two", "two", headers="Content-Encoding: br\r\n"),
+    "a late answer first": LATE_ANSWER + OWN_ANSWER,
+    "two late answers first": LATE_ANSWER + LATE_ANSWER + OWN_ANSWER,
+    "a late answer only": LATE_ANSWER,
     "a late answer without length": (
         "HTTP/1.1 200 OK\r\nWagtailstep-Request-Id: one\r\n\r\nlate"
     ),
-    "half of its answer": OWN[:-1],
+    "half of its answer": OWN_ANSWER[:-1],
     "no length and an end": (
         "HTTP/1.1 200 OK\r\nWagtailstep-Request-Id: two\r\n\r\ntwo"
     ),
@@ -73,10 +73,10 @@
 
 
 class ScriptedTarget:
-    """Answers request one well, and request two as scripted; then it closes."""
+    """Answers request one correctly and request two as scripted, then closes."""
 
     def __init__(self, answer):
-        self.answers = [write_answer("one", "one"), answer]
+        self.answers = [build_answer("one", "one"), answer]
         self.heads = []
 
     async def serve(self, reader, writer):
@@ -88,7 +88,7 @@
 
 
 async def send(gate, name):
-    """Send a request through the gate and return how it ended."""
+    """Send a request through the gate and return its outcome."""
     headers = (
         ("host", "a.test"),
         ("wagtailstep-request-id", name),
@@ -122,7 +122,7 @@
         gate = GateService(SETTINGS, controller, client, clock)
         server = await asyncio.start_server(context.target.serve, "127.0.0.1", 9000)
         assert await send(gate, "one") == "200 one"
-        context.end = await send(gate, "two")
+        context.outcome = await send(gate, "two")
         await asyncio.sleep(timedelta(seconds=1).total_seconds())
         client.close()
         server.close()
@@ -130,25 +130,25 @@
     detangle.run(main, seed=1)
 
 
-@then('request 2 ends as "{end}"')
-def check_end(context, end):
-    assert context.end == end, context.end
+@then('request 2 ends as "{outcome}"')
+def check_outcome(context, outcome):
+    assert context.outcome == outcome, context.outcome
 
 
-@then("it was sent the headers")
+@then("it received the headers")
 def check_headers(context):
     head = context.target.heads[1].lower()
     for row in context.table:
         assert f"{row['name']}: {row['value']}\r\n" in head, head
 
 
-def make_cut_body():
-    error = BadRequestError("the caller cut its body")
+def build_interrupted_body_error():
+    error = BadRequestError("the caller interrupted its body")
     error.verdict = Verdict.MAY_HAVE_RUN
     return error
 
 
-ENDS = {
+OUTCOMES = {
     "a deadline": (DeadlineExceededError("", Verdict.MAY_HAVE_RUN), 0, True, False),
     "a lost connection": (
         ConnectionFailedError("", Verdict.MAY_HAVE_RUN),
@@ -158,16 +158,16 @@
     ),
     "no connection": (ConnectionFailedError("", Verdict.NOT_RUN), 0, True, False),
     "turned away": (NotExecutedError("", timedelta()), 0, True, False),
-    "a body that the caller cut": (make_cut_body(), 0, True, False),
+    "a body that the caller cut": (build_interrupted_body_error(), 0, True, False),
     "an answer that the server broke off": (None, 200, False, True),
     "an answer that the caller left": (None, 200, False, False),
 }
 
 
-@then('a request that ended as "{end}" counts as "{work}"')
-def check_work(context, end, work):
-    if end.startswith("status"):
-        found = assess_work(None, int(end.split()[1]), True, False)
+@then('a request that ended as "{outcome}" counts as "{work}"')
+def check_work(context, outcome, work):
+    if outcome.startswith("status"):
+        found = assess_work(None, int(outcome.split()[1]), True, False)
     else:
-        found = assess_work(*ENDS[end])
+        found = assess_work(*OUTCOMES[outcome])
     assert (found.value if found else "nothing") == work, found
--- a/features/steps/target_judge_steps.py
+++ b/features/steps/target_judge_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the gate's judgement of its backend server."""
+"""Steps for the standing that a gate gives its backend server."""
 
 import random
 from datetime import timedelta
@@ -33,13 +33,13 @@
 TICK = timedelta(milliseconds=100)
 
 
-@given("a gate with a judge")
-def make_judge(context):
+@given("a gate that judges its backend server")
+def create_judge(context):
     member = Member("d1", 1, "127.0.0.1:7003", "127.0.0.1:7002", "bole")
     context.board = Blackboard(member, members={"d1": member})
     context.clock = ManualClock()
-    parts = (SETTINGS, context.board, context.clock, random.Random(1))
-    context.controllers = [AnnouncementController(*parts), TargetJudge(*parts)]
+    arguments = (SETTINGS, context.board, context.clock, random.Random(1))
+    context.controllers = [AnnouncementController(*arguments), TargetJudge(*arguments)]
     dispatch(context, TargetAnnounced(TARGET))
 
 
@@ -49,8 +49,8 @@
 
 
 def end_work(context, result, took_ms=200):
-    took = timedelta(milliseconds=took_ms)
-    event = WorkEnded("contracts/i-1", "sign", False, WorkResult(result), took)
+    duration = timedelta(milliseconds=took_ms)
+    event = WorkEnded("contracts/i-1", "sign", False, WorkResult(result), duration)
     dispatch(context, event)
 
 
@@ -60,7 +60,7 @@
 
 
 @when('its work ends as "{result}" {count:d} times')
-def end_often(context, result, count):
+def end_repeatedly(context, result, count):
     for _ in range(count):
         end_work(context, result)
 
@@ -76,14 +76,14 @@
     pass_time(context, timedelta(seconds=seconds))
 
 
-@when("work starts and nothing comes back for {wait_ms:d} ms")
+@when("work starts and gets no response for {wait_ms:d} ms")
 def start_work(context, wait_ms):
     dispatch(context, WorkStarted(1, "contracts/i-1", "sign"))
     pass_time(context, timedelta(milliseconds=wait_ms))
 
 
-def pass_time(context, span):
-    for _ in range(span // TICK):
+def pass_time(context, time):
+    for _ in range(time // TICK):
         context.clock.advance(TICK)
         dispatch(context, Tick())
 
@@ -117,7 +117,7 @@
 
 
 @then('"{safety}" requests go to targets with the standings "{used}"')
-def check_used(context, safety, used):
+def check_picked_standings(context, safety, used):
     routing = RoutingController(
         SETTINGS, context.board, context.clock, random.Random(1)
     )
@@ -133,7 +133,7 @@
 
 
 @then('a "{safety}" request that was sent to a "{known}" target is {outcome}')
-def check_turned_away(context, safety, known, outcome):
+def check_admission(context, safety, known, outcome):
     gate = GateController(SETTINGS, context.board, context.clock, random.Random(1))
     request = GateRequest(
         serial=1,
--- a/features/steps/timeline_steps.py
+++ b/features/steps/timeline_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the time line of events."""
+"""Steps for the timeline of events."""
 
 import asyncio
 import json
@@ -31,17 +31,17 @@
 
 
 @given('a daemon "{name}" whose wall clock is {seconds:d} seconds ahead')
-def given_fast_clock(context, name, seconds):
+def add_daemon_with_fast_clock(context, name, seconds):
     add_daemon(context, name, seconds=seconds)
 
 
 @given('a daemon "{name}" whose wall clock is right')
-def given_right_clock(context, name):
+def add_daemon_with_correct_clock(context, name):
     add_daemon(context, name)
 
 
 @given('a daemon "{name}" that keeps {size:d} events')
-def given_small_ring(context, name, size):
+def add_daemon_with_ring_size(context, name, size):
     add_daemon(context, name, size=size)
 
 
@@ -63,7 +63,7 @@
         context.timelines[name].record("event", {})
 
 
-@then('the merged time line reads "{kinds}"')
+@then('the merged timeline is "{kinds}"')
 def check_merged(context, kinds):
     events = [e for t in context.timelines.values() for e in t.events]
     assert [e.kind for e in sort_events(events)] == kinds.split(", ")
@@ -76,7 +76,7 @@
 
 
 class FakeSource:
-    """Answers for known daemons and fails for all others."""
+    """Returns the events of known daemons and fails for all others."""
 
     def __init__(self, timelines):
         self.timelines = timelines
@@ -90,8 +90,7 @@
 
 
 @when(
-    'the time line is gathered from "{first}" and from "{second}", '
-    "which does not answer"
+    'the timeline is gathered from "{first}" and from "{second}", which does not answer'
 )
 def gather(context, first, second):
     source = FakeSource(context.timelines)
@@ -101,7 +100,7 @@
     assert isinstance(context.merged, MergedTimeline)
 
 
-@then('the text and the trace both name "{address}" as unreachable')
+@then('the text and the trace both report "{address}" as unreachable')
 def check_unreachable(context, address):
     assert f"unreachable={address}" in merge_timeline.format_text(context.merged)
     trace = json.loads(merge_timeline.format_chrome_trace(context.merged))
--- a/features/table.feature
+++ b/features/table.feature
@@ -1,10 +1,10 @@
-Feature: Every reader decides each edit of the table alike
+Feature: Every reader of the log reaches the same decision on each table edit
   Background:
     Given a table with service "contracts" of floor 2 and 3 backend servers
 
   Scenario Outline: An edit is accepted only if the table stays valid
     When an edit based on version <base> sets "<row>" to "<cells>"
-    Then the edit is "<verdict>" and its reason names "<reason>"
+    Then the edit is "<verdict>" and its reason contains "<reason>"
 
     Examples:
       | base | row                                 | cells               | verdict  | reason                      |
@@ -23,38 +23,38 @@
 
   Scenario: Two edits that only together break the floor are not both accepted
     When an edit based on version 1 removes "backend_server contracts/10.0.0.1:1"
-    Then the edit is "accepted" and its reason names ""
+    Then the edit is "accepted" and its reason contains ""
     When an edit based on version 1 removes "backend_server contracts/10.0.0.2:1"
-    Then the edit is "refused" and its reason names "floor_weight: 2 can't be met"
+    Then the edit is "refused" and its reason contains "floor_weight: 2 can't be met"
 
   Scenario: An edit appended twice is applied once
     When an edit based on version 1 sets "service contracts" to "drain_limit_s=5"
     And the same record is appended again
-    Then the edit is "duplicate" and its reason names ""
+    Then the edit is "duplicate" and its reason contains ""
     And the table has version 2
 
-  Scenario: A copy of a long forgotten edit is not applied again
+  Scenario: A copy of an edit whose outcome has expired is not applied again
     When an edit based on version 1 sets "service contracts" to "drain_limit_s=5"
     And 1100 edits of other rows follow
     And the first of these edits is appended again
-    Then the edit is "refused" and its reason names "export the table again"
+    Then the edit is "refused" and its reason contains "export the table again"
 
-  Scenario: Bytes that are no edit change nothing
+  Scenario: A record that is not an edit changes nothing
     When the record "nonsense" is appended
-    Then the edit is "malformed" and its reason names "not a known message"
+    Then the edit is "malformed" and its reason contains "not a known message"
     And the table has version 1
 
   Scenario: A reader that starts late gets the same table from a snapshot
     When a snapshot of the table is appended late, after 3 more edits
-    And the log keeps only the records from that of the snapshot's last edit on
+    And the log keeps only the records from the snapshot's last edit on
     Then a new reader has the same table
 
-  Scenario: A snapshot is not taken while records after it are missing
+  Scenario: A snapshot is not used while records after it are missing
     When a snapshot of the table is appended late, after 3 more edits
     And the log keeps only the records after 2 of these edits
     Then a new reader has no table
 
-  Scenario Outline: A wrong snapshot is found out
+  Scenario Outline: A wrong snapshot is detected
     When a snapshot with <fault> is appended
     Then <reader> reports the snapshot as wrong
 
@@ -65,7 +65,7 @@
       | a later offset    | the old reader |
 
   Scenario: A snapshot that is older than the table is ignored
-    When an older snapshot of the table is taken over
+    When an older snapshot of the table is restored
     Then the table has version 1
 
   Scenario: The table is exported and read back unchanged
@@ -78,7 +78,7 @@
 
   Scenario Outline: A faulty file is explained
     When the exported CSV has "<old>" replaced by "<new>"
-    Then reading it fails and the message names "<message>"
+    Then reading it fails and the message contains "<message>"
 
     Examples:
       | old                 | new              | message                           |
@@ -89,19 +89,19 @@
       | backend_server      | server           | kind: 'server' is not allowed     |
 
   Scenario: Packed rows behave like a dictionary
-    Then packed rows agree with a dictionary over 4000 random operations
+    Then packed rows match a dictionary over 4000 random operations
 
   Scenario: Packed rows that are out of order are refused
     Then packed rows refuse keys that are out of order
 
-  Scenario: A fleet that is replaced while the log is away takes no request
+  Scenario: A fleet that is replaced while the log is unavailable knows no table
     Given a fleet of 5 daemons with a table in force
-    When all daemons are replaced while the log is away
+    When all daemons are replaced while the log is unavailable
     Then no daemon knows a table
-    When the table fleet's log is back
+    When the table fleet's log is available again
     Then all daemons have the newest table
 
-  Scenario Outline: Daemons cut off from the log still get new versions
+  Scenario Outline: Daemons that can't read the log still get new versions
     Given a fleet of 5 daemons with a table in force
     When <count> daemons can't read the log and <cut>
     And another edit is accepted
@@ -112,24 +112,24 @@
       | 4     | nothing else fails                 |
       | 1     | their messages to others get lost  |
 
-  Scenario: A daemon that starts without the log gets the table from others
+  Scenario: A daemon that starts without the log gets the table from its peers
     Given a fleet of 5 daemons with a table in force
-    When 1200 more rows are accepted, then the log goes away and a daemon is replaced
+    When 1200 more rows are accepted, then the log fails and a daemon is replaced
     Then all daemons have the newest table
 
-  Scenario: Snapshots are written before records expire, few whatever the fleet's size
+  Scenario: Snapshots are written before records expire, and few in a fleet of any size
     Given a fleet of 16 daemons with a table in force
-    When 5 times the log's retention passes
+    When 5 times the log's retention period passes
     Then between 8 and 24 snapshots were written
-    And a daemon that is replaced then has the newest table
+    And a daemon that is replaced afterwards has the newest table
 
-  Scenario: A daemon that starts from a wrong snapshot in the log takes the others' table
+  Scenario: A daemon that starts from a wrong snapshot in the log adopts its peers' table
     Given a fleet of 5 daemons with a table in force
-    When the log holds nothing but a wrong snapshot and a daemon is replaced
+    When the log contains only a wrong snapshot and a daemon is replaced
     Then all daemons have the newest table
-    And the replaced daemon has the rows of the others and reported the difference
+    And the replaced daemon has the rows of its peers and reported the difference
 
-  Scenario: Daemons that start together get a long table from the only one that has it
+  Scenario: Daemons that start together get a large table from the only one that has it
     Given a fleet of 10 daemons with a table in force
-    When 1200 more rows are accepted, then the log goes away and all but one are replaced
+    When 1200 more rows are accepted, then the log fails and all but one are replaced
     Then all daemons have the newest table after 90 seconds
--- a/features/target_answers.feature
+++ b/features/target_answers.feature
@@ -1,6 +1,6 @@
-Feature: A gate passes on its backend server's own answer to the request, and no other
+Feature: A gate forwards only its backend server's answer to the same request
 
-  Scenario Outline: Each answer is taken for what it is
+  Scenario Outline: Each answer is classified correctly
     When the backend server answers with "<answer>"
     Then request 2 ends as "<end>"
 
@@ -21,16 +21,16 @@
       | no length and an end         | 200 two                         |
       | bytes that are no answer     | connection-failed may-have-run  |
 
-  Scenario: Every sending names the time left, the instance and the caller's service
+  Scenario: Every attempt carries the time left, the instance and the caller's service
     When the backend server answers with "its own answer"
-    Then it was sent the headers
+    Then it received the headers
       | name                          | value  |
       | wagtailstep-request-id        | two    |
       | wagtailstep-expected-instance | i-1    |
       | wagtailstep-caller-service    | portal |
       | wagtailstep-timeout-ms        | 2000   |
 
-  Scenario Outline: What the end of a request tells of its backend server
+  Scenario Outline: How the outcome of a request counts for its backend server
     Then a request that ended as "<end>" counts as "<work>"
 
     Examples:
--- a/features/target_judge.feature
+++ b/features/target_judge.feature
@@ -1,15 +1,15 @@
-Feature: A gate judges its own backend server
+Feature: A gate assesses the health of its backend server
 
   Background:
-    Given a gate with a judge
+    Given a gate that judges its backend server
 
-  Scenario: One failure makes the gate doubt, a second one is enough
+  Scenario: After one failure the backend server is doubted, after a second one failing
     When its work ends as "failed"
     Then the standing is "doubted"
     When its work ends as "failed"
     Then the standing is "failing"
 
-  Scenario Outline: Each way to fail counts
+  Scenario Outline: Each type of failure counts
     When its work ends as "<result>"
     Then the standing is "<standing>"
 
@@ -21,43 +21,43 @@
       | unreachable | failing  |
       | turned-away | good     |
 
-  Scenario: Good answers take the doubt back
+  Scenario: A success ends the doubt
     When its work ends as "failed"
     And its work ends as "done"
     Then the standing is "good"
 
-  Scenario: A failing backend server without work is tried again within 4 seconds
+  Scenario: A failing backend server that gets no work is probed again within 4 seconds
     When its work ends as "failed" 5 times
     And 4 s pass
     Then the standing is "doubted"
 
-  Scenario: Work that hangs is noticed before its deadline
+  Scenario: Hanging work is detected before its deadline
     When its work ends as "done" after 200 ms, 20 times
-    And work starts and nothing comes back for 1200 ms
+    And work starts and gets no response for 1200 ms
     Then the standing is "doubted"
 
-  Scenario: The failure of a call doesn't count against the server that made it
+  Scenario: A failure caused by a failed call doesn't count against the server that made the call
     When a call of the backend server fails
     And its work ends as "failed"
     Then the standing is "good"
 
-  Scenario: The failure of a call excuses one failure only
+  Scenario: A failed call explains only one failure
     When a call of the backend server fails
     And its work ends as "failed" 2 times
     Then the standing is "doubted"
 
-  Scenario: The failure of a call excuses nothing that happens later
+  Scenario: A failed call does not explain later failures
     When a call of the backend server fails
     And 1 s pass
     And its work ends as "failed"
     Then the standing is "doubted"
 
-  Scenario: A renewed announcement keeps the judgement
+  Scenario: A renewed announcement keeps the standing
     When its work ends as "failed" 2 times
     And the backend server announces itself again
     Then the standing is "failing"
 
-  Scenario Outline: Work that can't be repeated avoids targets in doubt
+  Scenario Outline: Non-idempotent requests avoid doubted targets
     Given targets with the standings "<standings>"
     Then "<safety>" requests go to targets with the standings "<used>"
 
@@ -71,7 +71,7 @@
       | failing failing          | non-idempotent | failing         |
       | good failing failing     | idempotent     | good            |
 
-  Scenario Outline: A gate turns away what the entry would not have sent had it known
+  Scenario Outline: A gate rejects requests sent on an outdated standing
     When its work ends as "failed" <failures> times
     Then a "<safety>" request that was sent to a "<known>" target is <outcome>
 
@@ -84,12 +84,12 @@
       | 2        | non-idempotent | failing | run     |
       | 2        | idempotent     | failing | run     |
 
-  Scenario: Requests that may fail resolve a doubt
+  Scenario: Idempotent requests probe a doubted target
     Given targets with the standings "good good good good good good good doubted"
     Then between 20 and 30 % of "idempotent" requests go to the doubted target
     And between 0 and 0 % of "non-idempotent" requests go to the doubted target
 
-  Scenario Outline: Late work counts if it had a multiple of the usual time
+  Scenario Outline: Late work counts if it had a multiple of the typical latency
     When its work ends as "done" after 200 ms, 20 times
     And its work ends as "late" after <took> ms, 1 times
     Then the standing is "<standing>"
--- a/features/verdict.feature
+++ b/features/verdict.feature
@@ -1,5 +1,5 @@
 Feature: A verdict says whether a request may have run
-  Scenario Outline: The system resends only what can't do harm
+  Scenario Outline: A request is resent only where a second run is impossible or harmless
     Given a request that ended with verdict "<verdict>"
     Then a resend of an idempotent request is "<idempotent>"
     And a resend of a non-idempotent request is "<other>"
