--- a/features/target_judge.feature
+++ b/features/target_judge.feature
@@ -21,7 +21,7 @@
       | unreachable | failing  |
       | turned-away | good     |
 
-  Scenario: A success ends the doubt
+  Scenario: A success restores the standing "good"
     When its work ends as "failed"
     And its work ends as "done"
     Then the standing is "good"
