--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -8,7 +8,7 @@
 import attrs
 import detangle
 from behave import given, then, when
-from path_steps import PathWorld, yield_nothing
+from path_steps import RequestPathHarness, yield_nothing
 
 from wagtailstep.commands.explain_request import (
     count_causes,
@@ -53,7 +53,7 @@
         )
 
 
-class EntryAndGateHarness(PathWorld):
+class EntryAndGateHarness(RequestPathHarness):
     """A gate beside a backend server, and an entry that sends requests to it."""
 
     async def start(self, **changes):
