--- a/src/wagtailstep/network/gate.py
+++ b/src/wagtailstep/network/gate.py
@@ -294,7 +294,7 @@
         body = answer.body
 
         async def close() -> None:
-            whole = body.whole
+            whole = body.complete
             await answer.close()
             self.end(request, result if whole else RunResult.ABANDONED)
             self.tell(request, None, answer.status, whole, body.failed)
