--- a/src/wagtailstep/network/log_client.py
+++ b/src/wagtailstep/network/log_client.py
@@ -86,7 +86,7 @@
     """
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal() or int(port) > 65_535:
-        raise SettingsError(f"log address {address!r} is invalid; give host:port")
+        raise SettingsError(f"log address {address!r} is not host:port")
     return host.strip("[]"), int(port)
 
 
