--- a/src/wagtailstep/controllers/guard.py
+++ b/src/wagtailstep/controllers/guard.py
@@ -5,8 +5,9 @@
 :meth:`DuplicateGuard.finish_run` when the execution has ended. Both return effects
 for the runtime, which passes each
 :class:`~wagtailstep.models.idempotency.RequestDecided` effect, including those that
-:meth:`DuplicateGuard.handle` returns, to ``EntryService.settle``. The runtime reads a
-stream as soon as an append to it has ended, so that claims are decided quickly.
+:meth:`DuplicateGuard.handle` returns, to ``EntryService.deliver_decision``. The
+runtime reads a stream as soon as an append to it has ended, so that claims are
+decided quickly.
 """
 
 import random
