--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -30,7 +30,7 @@
 
 
 @when('a soak test with the faults "{names}" runs with seed {seed:d}')
-def run_soak(context, names, seed):
+def run_soak_with_faults(context, names, seed):
     logging.disable(logging.CRITICAL)
     try:
         context.result = run_soak(seed, tuple(names.split(", ")))
